--- a/courier/borrower.go
+++ b/courier/borrower.go
@@ -14,96 +14,96 @@
 )
 
 const (
-	// lendTimeout bounds one question to another router: what it lends is lost
-	// if its answer is not waited for, and a full link takes 0.4 to 0.5 s for a way
-	// and back, twice as long with a new connection.
+	// lendTimeout bounds one request to another router. Tokens that it lends are lost if
+	// the response is not awaited. Over a full link a round trip takes 0.4 to 0.5 s, and
+	// with a new connection twice that.
 	lendTimeout = 1200 * time.Millisecond
-	// lendPatience is how long a search waits for a wave; later answers are
-	// taken when they come.
-	lendPatience = 150 * time.Millisecond
-	// lendWave is how many routers are asked at once, and lendPart into how
-	// many parts what is wanted is cut for them: few have much to lend, and if
-	// all of them have, twice as much comes as was wanted.
-	lendWave = 8
-	lendPart = 4
-	// lendLeast is the least that one is asked for, in tokens: a usual request.
-	lendLeast = 10_000
-	// lendAhead is how often a router that no keeper answers looks whether it
-	// will soon need more: a quarter of the time that the demand it borrows for
-	// lasts.
-	lendAhead = 500 * time.Millisecond
+	// waveTimeout is how long a search waits for the responses of a wave. Later responses
+	// are still accepted when they arrive.
+	waveTimeout = 150 * time.Millisecond
+	// waveSize is how many routers are asked at once. Each is asked for the missing amount
+	// divided by loanDivisor: few routers can lend much, and if all can, the loans add up
+	// to twice the missing amount.
+	waveSize    = 8
+	loanDivisor = 4
+	// minLoanRequest is the smallest amount, in tokens, that one router is asked for: a
+	// typical request.
+	minLoanRequest = 10_000
+	// borrowCheckInterval is how often a router that can't reach any keeper checks whether it
+	// will soon need more rights. It is a quarter of the period whose demand it borrows for.
+	borrowCheckInterval = 500 * time.Millisecond
 )
 
-// borrower gets rights from other routers, for all requests of this one
-// together. If each request looked for a lender by itself, none would have the
-// time to connect to one, and each would close the connections that others had
-// begun: a router with 250 requests a second borrows nothing in nine seconds that
-// way, and refuses most of them.
+// borrower obtains rights from other routers, on behalf of all requests of this one. If
+// each request searched for a lender by itself, none would have the time to connect to one,
+// and each would close the connections that others had begun. A router with 250 requests a
+// second would then borrow nothing within nine seconds, and refuse most of them.
 type borrower struct {
 	rights *rights
 	log    *zap.Logger
 	wake   chan struct{}
 
 	mu        sync.Mutex
-	waiting   []*borrowing
+	waiters   []*waiter
 	searching bool
-	// Next is where in the lists of routers the next search begins; owing are
-	// the routers that have been asked and have not answered.
-	next  int
-	owing map[*messenger.Link]bool
+	// nextPeer is the rotation of the peers for the next search. pending holds the routers
+	// that have been asked and have not responded yet.
+	nextPeer int
+	pending  map[*messenger.Link]bool
 }
 
-// borrowing is a request that waits for rights of other routers.
-type borrowing struct {
-	// Try reports whether there is enough now, and takes it.
+// waiter is a request that waits for rights from other routers.
+type waiter struct {
+	// try reserves the tokens of the request if enough are held, and reports whether it did.
 	try  func() bool
 	done chan bool
-	// Late says that a search was under way when it came, so that it is told of
-	// the end of the next one.
-	late bool
+	// joinedDuringSearch is set if a search was running when the request joined. The
+	// request then waits for the end of the next search.
+	joinedDuringSearch bool
 }
 
 func newBorrower(r *rights, log *zap.Logger) *borrower {
-	return &borrower{rights: r, log: log, wake: make(chan struct{}, 1), next: rand.IntN(1 << 16), owing: map[*messenger.Link]bool{}}
+	return &borrower{rights: r, log: log, wake: make(chan struct{}, 1), nextPeer: rand.IntN(1 << 16), pending: map[*messenger.Link]bool{}}
 }
 
-// fetch waits until what routers lent is enough for try, all of them have been
-// asked in vain, or ctx ends. It reports whether try took it.
-func (b *borrower) fetch(ctx context.Context, try func() bool) bool {
+// wait blocks until try succeeds, until a search has asked all routers in vain, or until
+// ctx is done. It reports whether try succeeded.
+func (b *borrower) wait(ctx context.Context, try func() bool) bool {
 	b.mu.Lock()
-	w := &borrowing{try: try, done: make(chan bool, 1), late: b.searching}
-	b.waiting = append(b.waiting, w)
+	w := &waiter{try: try, done: make(chan bool, 1), joinedDuringSearch: b.searching}
+	b.waiters = append(b.waiters, w)
 	b.mu.Unlock()
 	select {
 	case b.wake <- struct{}{}:
 	default:
 	}
 	select {
-	case got := <-w.done:
-		return got
+	case ok := <-w.done:
+		return ok
 	case <-ctx.Done():
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.waiting = slices.DeleteFunc(b.waiting, func(o *borrowing) bool { return o == w })
+	b.waiters = slices.DeleteFunc(b.waiters, func(o *waiter) bool { return o == w })
 	select {
-	case got := <-w.done:
-		// It was served in the same moment.
-		return got
+	case ok := <-w.done:
+		// It was served at the same time.
+		return ok
 	default:
 		return false
 	}
 }
 
-// run asks other routers until ctx ends.
+// run searches for rights when requests wait for them, and regularly while no keeper can be
+// reached, until ctx is done.
 func (b *borrower) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-b.wake:
-		case <-time.After(lendAhead):
-			if !b.rights.fleet.outOfTouch() {
+		case <-time.After(borrowCheckInterval):
+			if !b.rights.fleet.disconnected() {
 				continue
 			}
 		}
@@ -111,46 +111,47 @@
 	}
 }
 
-// search asks the other routers in waves until nothing is wanted any more or
-// all were asked, those of the zone first: of 78 routers, 52 are in other zones, and
-// each question there and back takes 450 bytes of a link that has to be paid for.
+// search asks the other routers in waves until nothing is missing or all have been asked.
+// Routers in this zone come first: of 78 routers, 52 are in other zones, and each request
+// and its response take 450 bytes of a link that is charged for.
 func (b *borrower) search(ctx context.Context) {
-	b.begin()
-	defer b.end()
-	b.next++
-	others := b.rights.fleet.turn(b.next)
-	for i := 0; i < len(others) && ctx.Err() == nil; i += lendWave {
-		wants := b.rights.lacking()
+	b.beginSearch()
+	defer b.endSearch()
+	b.nextPeer++
+	others := b.rights.fleet.rotatedPeers(b.nextPeer)
+	for i := 0; i < len(others) && ctx.Err() == nil; i += waveSize {
+		wants := b.rights.shortfalls()
 		if len(wants) == 0 {
 			return
 		}
-		b.wave(ctx, others[i:min(i+lendWave, len(others))], wants)
-		b.serve()
+		b.askWave(ctx, others[i:min(i+waveSize, len(others))], wants)
+		b.serveWaiters()
 	}
 }
 
-func (b *borrower) begin() {
-	b.serve()
+// beginSearch starts a search on behalf of all requests that are waiting.
+func (b *borrower) beginSearch() {
+	b.serveWaiters()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.searching = true
-	for _, w := range b.waiting {
-		w.late = false
+	for _, w := range b.waiters {
+		w.joinedDuringSearch = false
 	}
 }
 
-// end tells those that waited for the search that it was in vain.
-func (b *borrower) end() {
+// endSearch tells the requests that have waited for the whole search that it failed.
+func (b *borrower) endSearch() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.searching = false
-	b.waiting = slices.DeleteFunc(b.waiting, func(w *borrowing) bool {
-		if !w.late {
+	b.waiters = slices.DeleteFunc(b.waiters, func(w *waiter) bool {
+		if !w.joinedDuringSearch {
 			w.done <- false
 		}
-		return !w.late
+		return !w.joinedDuringSearch
 	})
-	if len(b.waiting) > 0 {
+	if len(b.waiters) > 0 {
 		select {
 		case b.wake <- struct{}{}:
 		default:
@@ -158,11 +159,11 @@
 	}
 }
 
-// serve lets those who wait try what is there.
-func (b *borrower) serve() {
+// serveWaiters completes the waiting requests whose tokens can be reserved now.
+func (b *borrower) serveWaiters() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.waiting = slices.DeleteFunc(b.waiting, func(w *borrowing) bool {
+	b.waiters = slices.DeleteFunc(b.waiters, func(w *waiter) bool {
 		got := w.try()
 		if got {
 			w.done <- true
@@ -171,46 +172,48 @@
 	})
 }
 
-// wave asks some routers at once for all that is wanted, and waits a moment for
-// their answers.
-func (b *borrower) wave(ctx context.Context, lenders []*messenger.Link, wants []*messenger.PrepaidTotal) {
+// askWave asks several routers at once for everything that is missing, and waits up to
+// waveTimeout for their responses.
+func (b *borrower) askWave(ctx context.Context, lenders []*messenger.Link, wants []*messenger.PrepaidTotal) {
 	for _, w := range wants {
-		w.Tokens = max(w.Tokens/lendPart, lendLeast)
+		w.Tokens = max(w.Tokens/loanDivisor, minLoanRequest)
 	}
 	var asked sync.WaitGroup
 	for _, l := range lenders {
-		if b.owes(l) {
+		if b.markPending(l) {
 			continue
 		}
-		asked.Go(func() { b.ask(ctx, l, &messenger.LendRequest{Wants: wants}) })
+		asked.Go(func() { b.askPeer(ctx, l, &messenger.LendRequest{Wants: wants}) })
 	}
-	all := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		asked.Wait()
-		close(all)
+		close(done)
 	}()
 	select {
-	case <-all:
-	case <-time.After(lendPatience):
+	case <-done:
+	case <-time.After(waveTimeout):
 	}
 }
 
-// owes reports whether a router has still to answer; if not, it will now.
-func (b *borrower) owes(l *messenger.Link) bool {
+// markPending records that a router is being asked. It reports whether an earlier request
+// to it is still pending.
+func (b *borrower) markPending(l *messenger.Link) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	owes := b.owing[l]
-	b.owing[l] = true
-	return owes
+	wasPending := b.pending[l]
+	b.pending[l] = true
+	return wasPending
 }
 
-func (b *borrower) ask(ctx context.Context, l *messenger.Link, q *messenger.LendRequest) {
+// askPeer asks one router for a loan and adds what it lends to the purses.
+func (b *borrower) askPeer(ctx context.Context, l *messenger.Link, q *messenger.LendRequest) {
 	lent, err := l.Lend(ctx, lendTimeout, q)
 	b.mu.Lock()
-	delete(b.owing, l)
+	delete(b.pending, l)
 	b.mu.Unlock()
 	if err != nil {
-		lendersSilent.Inc()
+		lenderFailures.Inc()
 		return
 	}
 	var sum int64
@@ -227,15 +230,15 @@
 	}
 }
 
-// lacking returns what to borrow. While keepers answer, that is only what they
-// have said to be gone.
-func (r *rights) lacking() []*messenger.PrepaidTotal {
-	touch, now := !r.fleet.outOfTouch(), time.Now()
+// shortfalls returns the rights to borrow, by workspace. While keepers can be reached,
+// these are only the rights that they have reported to be exhausted.
+func (r *rights) shortfalls() []*messenger.PrepaidTotal {
+	connected, now := !r.fleet.disconnected(), time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []*messenger.PrepaidTotal
 	for _, w := range slices.Sorted(maps.Keys(r.purses)) {
-		if n := r.purses[w].Lack(now, touch); n > 0 {
+		if n := r.purses[w].Lack(now, connected); n > 0 {
 			out = append(out, &messenger.PrepaidTotal{Workspace: w, Tokens: n})
 		}
 	}
--- a/courier/kept_test.go
+++ b/courier/cache_query_test.go
@@ -14,10 +14,10 @@
 	"rattanhoist.example/rattanhoist/publisher"
 )
 
-// Pattern: 295 routers start together before 256 engines in five zones, 51 in each. Each
-// router asks no more engines than maxCacheQueries, however often it looks, and none of another
-// zone while its own has enough.
-func TestAStartingRouterAsksFewEngines(t *testing.T) {
+// 295 routers start together with 256 engines in five zones, 51 in each. Guards against
+// routers that query more engines than maxCacheQueries over several rounds, or engines of
+// another zone while their own has enough.
+func TestStartingRouterBoundsCacheQueries(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		here, elsewhere    int
@@ -29,8 +29,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			f := &fleet{
-				endpoints: map[enroller.Incarnation]*predictor.Endpoint{}, keptAsked: map[enroller.Incarnation]bool{},
+			f := &fleetView{
+				endpoints: map[enroller.Incarnation]*predictor.Endpoint{}, cacheQueried: map[enroller.Incarnation]bool{},
 				self: &messenger.FleetMember{Zone: "z"}, evacuations: newEvacuations(zap.NewNop()),
 			}
 			add := func(zone string, n int) {
@@ -44,8 +44,8 @@
 			x := publisher.NewIndex(&publisher.Document{Services: []publisher.Service{{Name: "llm", Engine: &publisher.Engine{}}}}, localizer.New(nil))
 			asked, here := 0, 0
 			for range 3 {
-				for _, e := range f.unasked(x) {
-					f.keptAsked[e.Beat().Incarnation] = true
+				for _, e := range f.enginesToQuery(x) {
+					f.cacheQueried[e.Beat().Incarnation] = true
 					asked++
 					if e.Beat().Zone == "z" {
 						here++
--- a/courier/process_test.go
+++ b/courier/cluster_test.go
@@ -22,35 +22,34 @@
 	"rattanhoist.example/rattanhoist/steward"
 )
 
-// fleet is keepers and routers on loopback addresses, each with its own
-// settings, disk and life.
-type fleet struct {
+// cluster runs keepers and routers on loopback addresses, each with its own settings and disk.
+type cluster struct {
 	t   *testing.T
 	dir string
-	// Net is the second byte of the addresses: tests don't share any.
-	net   int
-	stops map[string]func()
+	// subnet is the second byte of the addresses, which is different in each test.
+	subnet int
+	stops  map[string]func()
 }
 
-func newFleet(t *testing.T, net int) *fleet {
-	return &fleet{t: t, dir: t.TempDir(), net: net, stops: map[string]func(){}}
+func newCluster(t *testing.T, subnet int) *cluster {
+	return &cluster{t: t, dir: t.TempDir(), subnet: subnet, stops: map[string]func(){}}
 }
 
-func (f *fleet) ip(n int) string { return fmt.Sprintf("127.%d.%d.1", f.net, n) }
+func (f *cluster) ip(n int) string { return fmt.Sprintf("127.%d.%d.1", f.subnet, n) }
 
-func (f *fleet) control(n int) string { return f.ip(n) + ":8229" }
+func (f *cluster) controlAddress(n int) string { return f.ip(n) + ":8229" }
 
-func (f *fleet) serve(n int) string { return f.ip(n) + ":8227" }
+func (f *cluster) serveAddress(n int) string { return f.ip(n) + ":8227" }
 
-func (f *fleet) data(n int) string { return filepath.Join(f.dir, fmt.Sprint("data", n)) }
+func (f *cluster) dataDir(n int) string { return filepath.Join(f.dir, fmt.Sprint("data", n)) }
 
-func (f *fleet) node(kind string, n int, first bool) *loader.Node {
+func (f *cluster) node(kind string, n int, first bool) *loader.Node {
 	text := fmt.Sprintf("[node]\nname = n%d\nkind = %s\nzone = z%d\nip = %s\ninternal_ports = 7340,7355\nseeds = %s,%s,%s\n"+
-		"first_start = %v\nlost_disks = 1\nheartbeat_ms = 300\ngrace_s = 5\n", n, kind, n, f.ip(n), f.control(1), f.control(2), f.control(3), first)
+		"first_start = %v\nlost_disks = 1\nheartbeat_ms = 300\ngrace_s = 5\n", n, kind, n, f.ip(n), f.controlAddress(1), f.controlAddress(2), f.controlAddress(3), first)
 	if kind == loader.KindKeeper {
-		text += "control = " + f.control(n) + "\ndata_dir = " + f.data(n) + "\n"
+		text += "control = " + f.controlAddress(n) + "\ndata_dir = " + f.dataDir(n) + "\n"
 	} else {
-		text += "serve = " + f.serve(n) + "\nready = " + f.ip(n) + ":8220\n"
+		text += "serve = " + f.serveAddress(n) + "\nready = " + f.ip(n) + ":8220\n"
 	}
 	file := filepath.Join(f.dir, fmt.Sprint("node", n, ".ini"))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -63,8 +62,8 @@
 	return node
 }
 
-// run keeps a process going until it is stopped or the test ends.
-func (f *fleet) run(name string, p func(context.Context) error) {
+// run runs a process until it is stopped or the test ends.
+func (f *cluster) run(name string, p func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -78,7 +77,7 @@
 	f.t.Cleanup(f.stops[name])
 }
 
-func (f *fleet) keeper(n int, first bool) {
+func (f *cluster) keeper(n int, first bool) {
 	s, cleanUp, err := steward.New(f.node(loader.KindKeeper, n, first), zap.NewNop())
 	if err != nil {
 		f.t.Fatal(err)
@@ -91,7 +90,7 @@
 	})
 }
 
-func (f *fleet) router(n int) {
+func (f *cluster) router(n int) {
 	c := courier.New(courier.Options{
 		Node: f.node(loader.KindRouter, n, false), Log: zap.NewNop(), Decode: platform.DecodeDocument, Wire: platform.Wire{},
 		Belongs: platform.Belongs, ReadyPath: platform.ReadyPath,
@@ -99,10 +98,10 @@
 	f.run(fmt.Sprint("router", n), c.Run)
 }
 
-func (f *fleet) stop(name string) { f.stops[name]() }
+func (f *cluster) stop(name string) { f.stops[name]() }
 
-// call returns status and body of one call, or 0.
-func (f *fleet) call(method, address, path, body string, header ...string) (int, string) {
+// call returns the status and body of the response to one request, or 0 if it failed.
+func (f *cluster) call(method, address, path, body string, header ...string) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, strings.NewReader(body))
@@ -132,8 +131,8 @@
 		`"limits":{},"tenants":[{"name":"w","api_keys":["k"],"prepaid":%d}]}`, number, prepaid)
 }
 
-// engine answers each request with two events of five tokens.
-func (f *fleet) engine(id string) string {
+// engine starts an engine that answers each request with two events of five tokens.
+func (f *cluster) engine(id string) string {
 	l, err := net.Listen("tcp", f.ip(100)+":0")
 	if err != nil {
 		f.t.Fatal(err)
@@ -152,18 +151,18 @@
 	return l.Addr().String()
 }
 
-func (f *fleet) beat(keeper int, id, address, state string, sequence int) int {
-	status, _ := f.call("PUT", f.control(keeper), "/v1/instances/"+id,
+func (f *cluster) heartbeat(keeper int, id, address, state string, sequence int) int {
+	status, _ := f.call("PUT", f.controlAddress(keeper), "/v1/instances/"+id,
 		fmt.Sprintf(`{"service":"engine","address":%q,"zone":"z4","version":"v1","slots":8,"state":%q,"cold_remaining_ms":0,"sequence":%d}`, address, state, sequence))
 	return status
 }
 
-// beats sends heartbeats until the test ends, to the first keeper that answers.
-func (f *fleet) beats(id, address string) {
+// sendHeartbeats sends heartbeats until the test ends, to the first keeper that answers.
+func (f *cluster) sendHeartbeats(id, address string) {
 	f.run("beats "+id, func(ctx context.Context) error {
 		for n := 1; ctx.Err() == nil; n++ {
 			for k := 1; k <= 3; k++ {
-				if f.beat(k, id, address, "ready", n) == http.StatusOK {
+				if f.heartbeat(k, id, address, "ready", n) == http.StatusOK {
 					break
 				}
 			}
@@ -176,19 +175,19 @@
 	})
 }
 
-func (f *fleet) ask(router int, id string, tokens string) (int, string) {
-	return f.call("POST", f.serve(router), "/a/x", "", "Api-Key", "k", "Rattanhoist-Request-Id", id, "Rattanhoist-Token-Usage", tokens)
+func (f *cluster) request(router int, id string, tokens string) (int, string) {
+	return f.call("POST", f.serveAddress(router), "/a/x", "", "Api-Key", "k", "Rattanhoist-Request-Id", id, "Rattanhoist-Token-Usage", tokens)
 }
 
-func (f *fleet) publish(g *gomega.WithT, keeper int, content string) {
+func (f *cluster) publish(g *gomega.WithT, keeper int, content string) {
 	g.Eventually(func() int {
-		status, _ := f.call("PUT", f.control(keeper), "/v1/config", content)
+		status, _ := f.call("PUT", f.controlAddress(keeper), "/v1/config", content)
 		return status
 	}, 15*time.Second, 100*time.Millisecond).Should(gomega.Equal(200))
 }
 
-func start(t *testing.T, net int) (*fleet, *gomega.WithT) {
-	f, g := newFleet(t, net), gomega.NewWithT(t)
+func startCluster(t *testing.T, subnet int) (*cluster, *gomega.WithT) {
+	f, g := newCluster(t, subnet), gomega.NewWithT(t)
 	for n := 1; n <= 3; n++ {
 		f.keeper(n, true)
 	}
@@ -196,28 +195,28 @@
 	return f, g
 }
 
-func (f *fleet) serves(g *gomega.WithT, router int) {
+func (f *cluster) awaitServing(g *gomega.WithT, router int) {
 	g.Eventually(func() int {
-		status, _ := f.ask(router, "warm", "1,1")
+		status, _ := f.request(router, "warm", "1,1")
 		return status
 	}, 15*time.Second, 50*time.Millisecond).Should(gomega.Equal(200))
 }
 
-func TestAFleetServesCountsAndDrains(t *testing.T) {
-	f, g := start(t, 61)
+func TestFleetServesCountsAndDrains(t *testing.T) {
+	f, g := startCluster(t, 61)
 	f.router(4)
 	f.router(5)
 	address := f.engine("i-1")
-	f.beats("i-1", address)
-	f.serves(g, 4)
-	f.serves(g, 5)
-	_, body := f.ask(4, "one", "10,10")
+	f.sendHeartbeats("i-1", address)
+	f.awaitServing(g, 4)
+	f.awaitServing(g, 5)
+	_, body := f.request(4, "one", "10,10")
 	g.Expect(body).To(gomega.Equal("id: 1\ndata: x\n\nid: 2\ndata: x\n\n"))
 
-	// The total is 200; each request takes 30 at the most and costs 20.
+	// The total is 200. Each request reserves up to 30 and costs 20.
 	served := 0
 	for i := range 20 {
-		status, _ := f.ask(4+i%2, fmt.Sprint("r", i), "10,20")
+		status, _ := f.request(4+i%2, fmt.Sprint("r", i), "10,20")
 		if status == 200 {
 			served++
 		} else {
@@ -229,35 +228,34 @@
 
 	f.publish(g, 2, document(2, 100_000))
 	g.Eventually(func() int {
-		status, _ := f.ask(4, "more", "10,20")
+		status, _ := f.request(4, "more", "10,20")
 		return status
 	}, 3*time.Second, 50*time.Millisecond).Should(gomega.Equal(200), "a raised total is in force within seconds")
 
-	status, _ := f.call("DELETE", f.control(3), "/v1/instances/i-1", "")
+	status, _ := f.call("DELETE", f.controlAddress(3), "/v1/instances/i-1", "")
 	g.Expect(status).To(gomega.Equal(200))
 	g.Eventually(func() int {
-		status, _ := f.ask(5, "late", "1,1")
+		status, _ := f.request(5, "late", "1,1")
 		return status
 	}, 2*time.Second, 50*time.Millisecond).Should(gomega.Equal(503), "an endpoint that left gets no new work")
 	g.Consistently(func() int {
-		status, _ := f.ask(5, "late", "1,1")
+		status, _ := f.request(5, "late", "1,1")
 		return status
 	}, time.Second, 100*time.Millisecond).Should(gomega.Equal(503), "its late heartbeats don't bring it back")
 }
 
-// Symptom: an acknowledged configuration is gone, or an older one is read.
-// Sequence: a keeper acknowledges, loses its disk and comes back empty at the
-// same address while another is down; then all stop and start.
-// Cause: an empty disk that counts for a majority.
+// Guards against losing an acknowledged configuration, or reading an older one. A keeper
+// acknowledges, loses its disk and restarts empty at the same address while another is
+// down; then all stop and start. An empty disk must not count for a majority.
 func TestAcknowledgedConfigurationSurvivesALostDisk(t *testing.T) {
-	f, g := start(t, 62)
+	f, g := startCluster(t, 62)
 	f.publish(g, 1, document(5, 200))
 	f.stop("keeper1")
-	g.Expect(os.RemoveAll(f.data(1))).To(gomega.Succeed())
+	g.Expect(os.RemoveAll(f.dataDir(1))).To(gomega.Succeed())
 	f.stop("keeper2")
 	f.keeper(1, false)
 	status := func() int {
-		status, _ := f.call("GET", f.control(1), "/v1/config", "")
+		status, _ := f.call("GET", f.controlAddress(1), "/v1/config", "")
 		return status
 	}
 	g.Eventually(status, 3*time.Second, 20*time.Millisecond).Should(gomega.Equal(503), "it listens")
@@ -265,7 +263,7 @@
 	f.keeper(2, false)
 	read := func(n int) func() string {
 		return func() string {
-			_, body := f.call("GET", f.control(n), "/v1/config", "")
+			_, body := f.call("GET", f.controlAddress(n), "/v1/config", "")
 			return body
 		}
 	}
@@ -284,71 +282,69 @@
 	g.Expect(read(1)()).To(gomega.Equal(document(9, 200)), "a lower number changes nothing")
 }
 
-// Symptom: callers are refused while all keepers are out of reach.
-// Sequence: routers hold rights and a configuration; all keepers stop.
-// Cause: a request that needs a keeper.
+// Guards against refusing callers while no keeper can be reached, although routers hold
+// rights and a configuration.
 func TestRoutersServeWithoutKeepers(t *testing.T) {
-	f, g := start(t, 63)
+	f, g := startCluster(t, 63)
 	f.publish(g, 1, document(2, 100_000))
 	f.router(4)
 	f.router(5)
 	address := f.engine("i-1")
-	f.beats("i-1", address)
-	f.serves(g, 4)
-	f.serves(g, 5)
+	f.sendHeartbeats("i-1", address)
+	f.awaitServing(g, 4)
+	f.awaitServing(g, 5)
 	time.Sleep(time.Second)
 	for n := 1; n <= 3; n++ {
 		f.stop(fmt.Sprint("keeper", n))
 	}
 	for i := range 30 {
-		status, _ := f.ask(4+i%2, fmt.Sprint("r", i), "50,50")
+		status, _ := f.request(4+i%2, fmt.Sprint("r", i), "50,50")
 		g.Expect(status).To(gomega.Equal(200), "request %d", i)
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// Symptom: a stream is cut off by a planned stop of its router.
-// Sequence: the router is told to stop; a caller on an open connection sends a
-// request 3.8 of 8 s later; its stream lasts until the kill.
-// Cause: requests taken until the end, although nothing shows that they will
-// end in time.
-func TestStoppingRouterTakesNothingThatMayNotEnd(t *testing.T) {
-	f, g := start(t, 64)
+// Guards against a stream that is cut off by the planned stop of its router. A caller sends
+// a request on an open connection 3.8 of 8 s after the router was told to stop, and its
+// stream would last until the process is killed. Such late requests must be refused.
+func TestStoppingRouterRefusesLateRequests(t *testing.T) {
+	f, g := startCluster(t, 64)
 	f.publish(g, 1, document(2, 100_000))
 	f.router(4)
 	address := f.engine("i-1")
-	f.beats("i-1", address)
-	f.serves(g, 4)
+	f.sendHeartbeats("i-1", address)
+	f.awaitServing(g, 4)
 	go f.stop("router4")
 	g.Eventually(func() int {
 		status, _ := f.call("GET", f.ip(4)+":8220", "/v1/ready", "")
 		return status
 	}, time.Second, 10*time.Millisecond).Should(gomega.Equal(503), "not ready at once")
-	status, _ := f.ask(4, "early", "1,1")
+	status, _ := f.request(4, "early", "1,1")
 	g.Expect(status).To(gomega.Equal(200), "still served")
 	time.Sleep(2 * time.Second)
-	status, _ = f.ask(4, "late", "1,1")
-	g.Expect(status).To(gomega.Equal(503), "not run: the caller goes elsewhere")
+	status, _ = f.request(4, "late", "1,1")
+	g.Expect(status).To(gomega.Equal(503), "refused as not executed")
 }
 
-// Guards against an acknowledged evacuation that a restart of all processes, one of them
-// with an empty disk, forgets, and against one that a router learns only once it serves.
-func TestAnEvacuationSurvivesARestartOfAll(t *testing.T) {
-	f, g := start(t, 65)
+// Guards against a restart of all processes, one of them with an empty disk, that loses an
+// acknowledged evacuation, and against a router that learns of the evacuation only once it
+// awaitServing callers.
+func TestEvacuationSurvivesFullRestart(t *testing.T) {
+	f, g := startCluster(t, 65)
 	f.publish(g, 1, document(2, 100_000))
 	f.router(4)
 	address := f.engine("i-1")
-	f.beats("i-1", address)
-	f.serves(g, 4)
+	f.sendHeartbeats("i-1", address)
+	f.awaitServing(g, 4)
 	order := func(keeper int, method string) int {
-		status, _ := f.call(method, f.control(keeper), "/v1/evacuations/z4", "")
+		status, _ := f.call(method, f.controlAddress(keeper), "/v1/evacuations/z4", "")
 		return status
 	}
 	ask := func() int {
-		status, _ := f.ask(4, "x", "1,1")
+		status, _ := f.request(4, "x", "1,1")
 		return status
 	}
-	status, _ := f.call("POST", f.control(1), "/v1/evacuations/nowhere", "")
+	status, _ := f.call("POST", f.controlAddress(1), "/v1/evacuations/nowhere", "")
 	g.Expect(status).To(gomega.Equal(400))
 	g.Expect(order(1, "POST")).To(gomega.Equal(200))
 	g.Eventually(ask, 2*time.Second, 20*time.Millisecond).Should(gomega.Equal(503), "no other zone has an engine")
@@ -356,7 +352,7 @@
 	for n := 1; n <= 3; n++ {
 		f.stop(fmt.Sprint("keeper", n))
 	}
-	g.Expect(os.RemoveAll(f.data(1))).To(gomega.Succeed())
+	g.Expect(os.RemoveAll(f.dataDir(1))).To(gomega.Succeed())
 	for n := 1; n <= 3; n++ {
 		f.keeper(n, false)
 	}
@@ -368,5 +364,5 @@
 	g.Consistently(ask, 2*time.Second, 50*time.Millisecond).Should(gomega.Equal(503))
 	g.Eventually(func() int { return order(2, "POST") }, 5*time.Second, 100*time.Millisecond).Should(gomega.Equal(200), "sent again")
 	g.Eventually(func() int { return order(3, "DELETE") }, 5*time.Second, 100*time.Millisecond).Should(gomega.Equal(200))
-	f.serves(g, 4)
+	f.awaitServing(g, 4)
 }
--- a/courier/courier.go
+++ b/courier/courier.go
@@ -1,5 +1,5 @@
-// Package courier is a router of a fleet whose members find each other through
-// seeds: it asks keepers what is in force and serves callers.
+// Package courier implements a router process. It finds keepers through seed addresses, obtains
+// the configuration, the endpoints and the prepaid rights from them, and serves callers.
 package courier
 
 import (
@@ -24,77 +24,77 @@
 )
 
 const (
-	// headerTimeout and idleTimeout are for connections of callers: a little
-	// more than what operators state for them (3 and 15 s), so that no caller
-	// who keeps to that is cut. An idle connection takes 30 kB, and a router of
-	// 112 MB ran out of it with 2,800 of them kept for 30 s.
-	headerTimeout = 6 * time.Second
-	idleTimeout   = 16 * time.Second
-	// headerMost is in bytes.
-	headerMost = 64 << 10
-	// minBusy is the number of requests in progress from which the lag of the process is
-	// measured.
-	minBusy = 4
-	// sweepEvery is how often idle connections to endpoints are looked at.
-	sweepEvery = time.Second
-	// tellLeast is how long a router that stops goes on taking connections:
-	// the platform notices after two questions a second apart.
-	tellLeast = 2500 * time.Millisecond
-	// takeUntil is how long a router that stops still takes requests on open
-	// connections, as a part of the time until it is killed: 2.9 of 8 s. What
-	// is taken later may not end before the kill; refused as not run, the
-	// caller goes to another router at once.
-	takeUntil = 0.36
-	// endMargin before the kill, the process ends by itself.
-	endMargin = 300 * time.Millisecond
-	endPoll   = 20 * time.Millisecond
+	// Limits on connections of callers. Operators announce 3 and 15 s to callers; the
+	// values here are slightly longer, so that no caller that respects those is
+	// disconnected. An idle connection takes 30 kB: a router with 112 MB of memory ran out
+	// of it with 2,800 connections kept for 30 s.
+	readHeaderTimeout = 6 * time.Second
+	idleTimeout       = 16 * time.Second
+	maxHeaderBytes    = 64 << 10
+	// minRequestsForLag is the number of active requests from which the scheduling lag of
+	// the process is measured.
+	minRequestsForLag = 4
+	// poolSweepInterval is the interval at which idle connections to endpoints are checked.
+	poolSweepInterval = time.Second
+	// minDrainDuration is how long a stopping router accepts connections at least: the platform
+	// stops routing callers here after two failed readiness probes, sent one second apart.
+	minDrainDuration = 2500 * time.Millisecond
+	// drainAcceptFraction is the fraction of the grace period during which a stopping
+	// router accepts requests on open connections: 2.9 of 8 s. A request accepted later
+	// might not complete before the process is killed. If it is refused as not executed
+	// instead, the caller can retry at another router at once.
+	drainAcceptFraction = 0.36
+	// exitMargin is how long before the end of the grace period the process exits by itself.
+	exitMargin        = 300 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// Options are what a courier needs beside its settings.
+// Options configure a router.
 type Options struct {
 	Node   *loader.Node
 	Log    *zap.Logger
 	Decode func([]byte) (*publisher.Document, error)
 	Wire   forwarder.Wire
-	// Belongs tells whose answer a header is.
+	// ClassifyResponse reports whether a response header carries the given request id,
+	// another id, or none.
 	Belongs func(http.Header, string) pooler.Belonging
-	// Kept asks the endpoint at an address which parts of prompts it keeps. It also returns
-	// the state that the endpoint reports, which is nil only if there was no response.
+	// QueryCache asks the endpoint at an address which prompt parts its prefix
+	// cache holds. It also returns the state that the endpoint reports, which is
+	// nil only if there was no response.
 	Kept func(context.Context, string) ([]predictor.Part, *predictor.State, error)
-	// ReadyPath is where the platform asks whether callers may come.
+	// ReadyPath is the path of the platform's readiness probe.
 	ReadyPath string
 }
 
-// Courier is one router process.
+// Router is one router process.
 type Courier struct {
 	Options
 	incarnation uint64
-	start       time.Time
-	fleet       *fleet
+	startedAt   time.Time
+	fleet       *fleetView
 	rights      *rights
 	pool        *pooler.Pool
 	lag         shaper.Lag
 	admission   *shaper.Admission
 	handler     *forwarder.Forwarder
-	// Stopping is when the process was told to stop, as time since start; 0
-	// before.
-	stopping atomic.Int64
-	active   atomic.Int64
-	opened   atomic.Int64
+	// drainingSince is the time from startedAt until the process was told to stop, or 0.
+	drainingSince     atomic.Int64
+	activeRequests    atomic.Int64
+	connectionsOpened atomic.Int64
 }
 
-// New returns a courier.
+// New returns a router that Run starts.
 func New(o Options) *Courier {
-	c := &Courier{Options: o, start: time.Now(), incarnation: newIncarnation()}
+	c := &Courier{Options: o, startedAt: time.Now(), incarnation: newIncarnation()}
 	table := predictor.NewTable(o.Node.Zone())
-	c.pool = pooler.New(o.Belongs, func() { c.opened.Add(1) })
+	c.pool = pooler.New(o.Belongs, func() { c.connectionsOpened.Add(1) })
 	c.admission = shaper.NewAdmission(o.Node.LinkRate(), &c.lag)
 	c.pool.UseLink(c.admission)
-	c.fleet = newFleet(o, c.incarnation, table, c.pool)
+	c.fleet = newFleetView(o, c.incarnation, table, c.pool)
 	c.fleet.shedding = newShedding(c.admission, o.Log)
 	c.rights = newRights(c.fleet, o.Node.Internal(), o.Log)
-	c.fleet.published = c.rights.prepare
-	c.gauges()
+	c.fleet.onDocument = c.rights.updateTotals
+	c.registerGauges()
 	ratio, slack, window := o.Node.Retries()
 	c.handler = forwarder.New(forwarder.Parts{
 		Wire: o.Wire, Fleet: c.fleet, Table: table, Pool: c.pool, Rights: c.rights, Log: o.Log,
@@ -104,21 +104,22 @@
 	return c
 }
 
+// newIncarnation returns a random number that is not 0.
 func newIncarnation() uint64 {
 	var b [8]byte
-	// It ends the process rather than fail.
+	// crypto/rand.Read never returns an error: it ends the process instead.
 	_, _ = crand.Read(b[:])
 	return max(binary.BigEndian.Uint64(b[:]), 1)
 }
 
-// Learn makes keepers known that changed settings name.
+// AddKeepers adds keeper addresses from changed settings.
 func (c *Courier) Learn(seeds []string) {
 	for _, s := range seeds {
-		c.fleet.learn(s, "")
+		c.fleet.addKeeper(s, "")
 	}
 }
 
-// Run serves until ctx ends and all that was taken is answered.
+// Run serves callers until ctx is done, and then drains the requests in progress.
 func (c *Courier) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -131,22 +132,22 @@
 		return err
 	}
 	callers := &http.Server{
-		Handler: http.HandlerFunc(c.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerMost,
+		Handler: http.HandlerFunc(c.handleCaller), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	m := http.NewServeMux()
-	m.HandleFunc("GET "+c.ReadyPath, c.answerReady)
-	question := &http.Server{Handler: m, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	m.HandleFunc("GET "+c.ReadyPath, c.handleReady)
+	question := &http.Server{Handler: m, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	internal, err := net.Listen("tcp", c.Node.Internal())
 	if err != nil {
 		return err
 	}
-	n, closeNews, err := newNews(c.fleet, c.admission, c.Log)
+	n, closeNews, err := newDispatchNotifier(c.fleet, c.admission, c.Log)
 	if err != nil {
 		return err
 	}
 	defer closeNews()
-	c.fleet.news.Store(n)
-	go n.run(work)
+	c.fleet.notifier.Store(n)
+	go n.receive(work)
 	rpc := messenger.NewFleetServer()
 	messenger.RegisterFleetRouterServer(rpc, &peerServer{rights: c.rights, table: c.fleet.table})
 	failed := make(chan error, 3)
@@ -155,13 +156,13 @@
 	go func() { failed <- question.Serve(ready) }()
 	go c.fleet.run(work)
 	go c.rights.run(work)
-	go c.sweep(work)
+	go c.sweepPool(work)
 	go c.fleet.shedding.run(work, callers.SetKeepAlivesEnabled)
-	go c.lag.Run(work, func() bool { return c.active.Load() >= minBusy })
+	go c.lag.Run(work, func() bool { return c.activeRequests.Load() >= minRequestsForLag })
 	c.Log.Info("router started", zap.String("zone", c.Node.Zone()), zap.Strings("seeds", c.Node.Seeds()), zap.Uint64("incarnation", c.incarnation))
 	select {
 	case err := <-failed:
-		c.Log.Error("router ends", zap.Error(err))
+		c.Log.Error("server failed, router exits", zap.Error(err))
 		return err
 	case <-ctx.Done():
 	}
@@ -174,36 +175,37 @@
 	return nil
 }
 
-// drain waits until no caller is left, inside the time until the kill.
+// drain waits until no requests are active, for at most the grace period less exitMargin.
 func (c *Courier) drain() {
-	c.Log.Info("router stops", zap.Int64("active", c.active.Load()))
+	c.Log.Info("router stops", zap.Int64("active", c.activeRequests.Load()))
 	begun := time.Now()
-	c.stopping.Store(int64(time.Since(c.start)))
-	for time.Since(begun) < c.Node.Grace()-endMargin {
-		if time.Since(begun) > tellLeast && c.active.Load() == 0 {
+	c.drainingSince.Store(int64(time.Since(c.startedAt)))
+	for time.Since(begun) < c.Node.Grace()-exitMargin {
+		if time.Since(begun) > minDrainDuration && c.activeRequests.Load() == 0 {
 			return
 		}
-		time.Sleep(endPoll)
+		time.Sleep(drainPollInterval)
 	}
-	c.Log.Warn("router stops with callers left", zap.Int64("active", c.active.Load()))
+	c.Log.Warn("router stops with callers left", zap.Int64("active", c.activeRequests.Load()))
 }
 
-// stoppingFor returns how long ago the process was told to stop, or 0.
-func (c *Courier) stoppingFor() time.Duration {
-	at := c.stopping.Load()
+// drainDuration returns how long ago the process was told to stop, or 0.
+func (c *Courier) drainDuration() time.Duration {
+	at := c.drainingSince.Load()
 	if at == 0 {
 		return 0
 	}
-	return time.Since(c.start) - time.Duration(at)
+	return time.Since(c.startedAt) - time.Duration(at)
 }
 
-func (c *Courier) serve(w http.ResponseWriter, r *http.Request) {
-	c.active.Add(1)
-	defer c.active.Add(-1)
-	if d := c.stoppingFor(); d > 0 {
-		// The caller's next request then goes to a router that stays.
+// handleCaller forwards a request of a caller, unless the router is about to stop.
+func (c *Courier) handleCaller(w http.ResponseWriter, r *http.Request) {
+	c.activeRequests.Add(1)
+	defer c.activeRequests.Add(-1)
+	if d := c.drainDuration(); d > 0 {
+		// The caller has to open a new connection, which the platform routes to another router.
 		w.Header().Set("Connection", "close")
-		if d > time.Duration(takeUntil*float64(c.Node.Grace())) {
+		if d > time.Duration(drainAcceptFraction*float64(c.Node.Grace())) {
 			c.Wire.RetryAfter(w.Header(), 0)
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -212,14 +214,17 @@
 	c.handler.ServeHTTP(w, r)
 }
 
-func (c *Courier) answerReady(w http.ResponseWriter, _ *http.Request) {
-	if c.fleet.Index() == nil || c.fleet.outdated() || c.fleet.shedding.active() || c.stoppingFor() > 0 {
+// handleReady answers the readiness probe: the router is not ready without a current document,
+// while it sheds load, and while it drains.
+func (c *Courier) handleReady(w http.ResponseWriter, _ *http.Request) {
+	if c.fleet.Index() == nil || c.fleet.outdated() || c.fleet.shedding.active() || c.drainDuration() > 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-func (c *Courier) sweep(ctx context.Context) {
-	t := time.NewTicker(sweepEvery)
+// sweepPool regularly closes idle connections to endpoints until ctx is done.
+func (c *Courier) sweepPool(ctx context.Context) {
+	t := time.NewTicker(poolSweepInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/courier/document_test.go
+++ b/courier/document_test.go
@@ -10,8 +10,8 @@
 	"rattanhoist.example/rattanhoist/publisher"
 )
 
-// Guards against requests served by an old document on a router that has heard of a newer
-// one and can't fetch it, as over a link that callers fill.
+// Guards against a router that serves requests by its current document although it has
+// heard of a newer one and can't fetch it, for example over a link that callers fill.
 func TestRouterRefusesWhileItsDocumentIsOutdated(t *testing.T) {
 	g := gomega.NewWithT(t)
 	k := &keeperStub{}
@@ -27,16 +27,16 @@
 	}
 	g.Eventually(held, 5*time.Second, 10*time.Millisecond).Should(gomega.Equal(uint64(1)))
 	k.fetch.Store(int64(time.Minute))
-	k.newer.Store(1)
-	time.Sleep(f.o.Node.Apply())
+	k.numberOffset.Store(1)
+	time.Sleep(f.options.Node.Apply())
 	g.Expect(held()).To(gomega.BeZero())
 	g.Consistently(held, time.Second, 10*time.Millisecond).Should(gomega.BeZero())
 	k.fetch.Store(0)
 	g.Eventually(held, 3*time.Second, 10*time.Millisecond).Should(gomega.Equal(uint64(2)))
 }
 
-// Guards against fetches that are torn down and begun anew for as long as a link is full.
-func TestSlowFetchIsNotGivenUp(t *testing.T) {
+// Guards against slow fetches that are aborted and restarted for as long as a link is full.
+func TestSlowFetchIsNotAborted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	k := &keeperStub{}
 	k.fetch.Store(int64(2500 * time.Millisecond))
@@ -53,7 +53,7 @@
 	g.Expect(a.observe(at(5), 4, 3)).To(gomega.BeTrue())
 	g.Expect(a.observe(at(7), 6, 3)).To(gomega.BeTrue())
 	g.Expect(a.age(at(8))).To(gomega.Equal(3 * time.Second))
-	a.publish(4)
+	a.markInForce(4)
 	g.Expect(a.age(at(8))).To(gomega.Equal(time.Second), "counts from the report of document 6")
 	a.reject(6)
 	g.Expect(a.age(at(9))).To(gomega.BeZero(), "an unreadable document does not stop service")
--- a/courier/endpoint.go
+++ b/courier/endpoint.go
@@ -9,30 +9,31 @@
 	"rattanhoist.example/rattanhoist/predictor"
 )
 
-// silentBeats is how many heartbeats an endpoint may miss while keepers
-// are in reach: two more than at the keepers, whose word comes first.
-const silentBeats = 8
+// maxMissedHeartbeats is how many heartbeats an endpoint may miss before this router
+// removes it, if keepers are reachable. It is two more than the keepers' own limit, so that
+// they decide first.
+const maxMissedHeartbeats = 8
 
-// show puts the known endpoints in service. While no keeper answers, nobody is
-// forgotten for silence: what is heard of endpoints comes from keepers.
-func (f *fleet) show(now time.Time) {
-	if !f.lost && f.outOfTouch() {
-		f.lost = true
-		f.o.Log.Warn("no keeper answers; serving what is known", zap.Duration("silence", f.untouched()), zap.NamedError("last_failure", f.failure))
+// applyEndpoints puts the known endpoints in service and removes the others. While no keeper
+// answers, endpoints don't expire, because heartbeats are only known through keepers.
+func (f *fleetView) applyEndpoints(now time.Time) {
+	if !f.disconnectLogged && f.disconnected() {
+		f.disconnectLogged = true
+		f.options.Log.Warn("no keeper answers; serving what is known", zap.Duration("silence", f.sinceContact()), zap.NamedError("last_failure", f.lastFailure))
 	}
-	if now.Sub(f.touchedAt) < touchGap && now.Sub(f.touchSince) > silentBeats*f.o.Node.Heartbeat() {
-		f.roll.Expire(now)
+	if now.Sub(f.contactAt) < maxContactGap && now.Sub(f.contactSince) > maxMissedHeartbeats*f.options.Node.Heartbeat() {
+		f.registered.Expire(now)
 	}
 	f.removeLeaving(now)
 	evacuated := f.evacuations.load()
-	if f.roll.Revision() == f.appliedRevision && evacuated.revision == f.appliedEvacuations {
+	if f.registered.Revision() == f.appliedRevision && evacuated.revision == f.appliedEvacuations {
 		return
 	}
-	f.appliedRevision, f.appliedEvacuations = f.roll.Revision(), evacuated.revision
+	f.appliedRevision, f.appliedEvacuations = f.registered.Revision(), evacuated.revision
 	byService := map[string][]*predictor.Endpoint{}
 	known := map[enroller.Incarnation]bool{}
-	changes := endpointChanges{log: f.o.Log}
-	for _, s := range f.roll.Sightings(now) {
+	changes := endpointChanges{log: f.options.Log}
+	for _, s := range f.registered.Sightings(now) {
 		if s.Leaving {
 			continue
 		}
@@ -41,59 +42,61 @@
 		if e == nil {
 			e = predictor.NewEndpoint(b)
 			f.endpoints[b.Incarnation] = e
-			changes.entered(b)
+			changes.added(b)
 		}
 		known[b.Incarnation] = true
 		if evacuated.zones[b.Zone] {
-			// What is under way there ends in peace.
+			// Its zone is evacuated: it gets no new requests, and those in progress complete.
 			continue
 		}
 		byService[b.Service] = append(byService[b.Service], e)
 	}
-	f.warmup.apply(now, f)
+	f.warmup.applyLimits(now, f)
 	f.table.Replace(byService)
 	for i := range f.endpoints {
 		if known[i] {
 			continue
 		}
 		delete(f.endpoints, i)
-		if n, ok := f.roll.Known(i.ID); ok && n != i {
-			// Its process has ended. Where no reset comes from there, the requests
-			// that it still had would wait for it until their deadline.
+		if n, ok := f.registered.Known(i.ID); ok && n != i {
+			// The process of this incarnation has ended. If no TCP reset arrives from
+			// there, its requests would wait until their deadlines.
 			f.pool.End(i.String())
 		} else {
 			f.pool.Forget(i.String())
 		}
-		changes.left(i)
+		changes.removed(i)
 	}
 	changes.summarize(len(known))
 }
 
-// maxEndpointLines bounds the log lines on single endpoints for one change of the list: a
-// router that starts hears of all of them at once.
-const maxEndpointLines = 16
+// maxEndpointLogLines is the maximum number of log lines on single endpoints per change. A
+// starting router learns of all endpoints in one change.
+const maxEndpointLogLines = 16
 
-// endpointChanges logs what one change of the list of endpoints puts in and out of service.
+// endpointChanges logs the endpoints that one change puts in and out of service.
 type endpointChanges struct {
-	log     *zap.Logger
-	in, out int
+	log                      *zap.Logger
+	addedCount, removedCount int
 }
 
-func (c *endpointChanges) entered(b enroller.Beat) {
-	if c.in++; c.in <= maxEndpointLines {
+// added records and logs an endpoint that came into service.
+func (c *endpointChanges) added(b enroller.Beat) {
+	if c.addedCount++; c.addedCount <= maxEndpointLogLines {
 		c.log.Info("endpoint in service", zap.Stringer("endpoint", b), zap.String("service", b.Service), zap.String("zone", b.Zone))
 	}
 }
 
-func (c *endpointChanges) left(i enroller.Incarnation) {
-	if c.out++; c.out <= maxEndpointLines {
+// removed records and logs an endpoint that left service.
+func (c *endpointChanges) removed(i enroller.Incarnation) {
+	if c.removedCount++; c.removedCount <= maxEndpointLogLines {
 		c.log.Info("endpoint out of service", zap.Stringer("endpoint", i))
 	}
 }
 
-// summarize logs the numbers where lines on single endpoints were left out.
+// summarize logs the totals if lines on single endpoints were left out.
 func (c *endpointChanges) summarize(known int) {
-	if c.in > maxEndpointLines || c.out > maxEndpointLines {
-		c.log.Info("endpoints changed", zap.Int("in_service", c.in), zap.Int("out_of_service", c.out), zap.Int("known", known))
+	if c.addedCount > maxEndpointLogLines || c.removedCount > maxEndpointLogLines {
+		c.log.Info("endpoints changed", zap.Int("in_service", c.addedCount), zap.Int("out_of_service", c.removedCount), zap.Int("known", known))
 	}
 }
--- a/courier/endpoint_state.go
+++ b/courier/endpoint_state.go
@@ -8,33 +8,33 @@
 	"rattanhoist.example/rattanhoist/predictor"
 )
 
-// Observe records the state that an endpoint reported in its response to a request sent
-// at sentAt, logs what changed, and has an endpoint that is leaving removed from service.
-func (f *fleet) Observe(e *predictor.Endpoint, s predictor.State, sentAt time.Time) {
+// Observe records the state that an endpoint reported in its response to a request sent at
+// sentAt, and logs what changed. An endpoint that is leaving is then removed from service.
+func (f *fleetView) Observe(e *predictor.Endpoint, s predictor.State, sentAt time.Time) {
 	change := e.Observe(s, sentAt, time.Now())
 	if change.RateLimit {
 		f.rateLimitChanged(e, s.RateLimit)
 	}
 	if change.SheddingStarted {
-		f.o.Log.Info("endpoint started shedding load", zap.String("endpoint", e.Name()), zap.String("service", e.Beat().Service),
+		f.options.Log.Info("endpoint started shedding load", zap.String("endpoint", e.Name()), zap.String("service", e.Beat().Service),
 			zap.Duration("retry_after", s.RetryAfter))
 	}
 	if change.LeavingStarted {
-		f.o.Log.Info("endpoint reports that it is leaving", zap.String("endpoint", e.Name()), zap.String("service", e.Beat().Service))
+		f.options.Log.Info("endpoint reports that it is leaving", zap.String("endpoint", e.Name()), zap.String("service", e.Beat().Service))
 		f.mu.Lock()
 		f.leaving = append(f.leaving, e.Beat().Incarnation)
 		f.mu.Unlock()
 	}
 }
 
-// removeLeaving permanently removes from service the incarnations that have reported that
-// they are leaving, so that later sightings from keepers can't restore them.
-func (f *fleet) removeLeaving(now time.Time) {
+// removeLeaving removes from service the incarnations that have reported that they are
+// leaving. The removal is permanent: later sightings from keepers can't restore them.
+func (f *fleetView) removeLeaving(now time.Time) {
 	f.mu.Lock()
 	leaving := f.leaving
 	f.leaving = nil
 	f.mu.Unlock()
 	for _, i := range leaving {
-		f.roll.Leave(now, i)
+		f.registered.Leave(now, i)
 	}
 }
--- a/courier/endpoint_state_test.go
+++ b/courier/endpoint_state_test.go
@@ -24,7 +24,7 @@
 // reportingEngine is an engine that reports its state in its responses: a rate limit while
 // one is set, and Retry-After while it sheds load.
 type reportingEngine struct {
-	f       *fleet
+	f       *cluster
 	id      string
 	address string
 
@@ -45,7 +45,7 @@
 	retryAfter time.Duration
 }
 
-func (f *fleet) reportingEngine(id string) *reportingEngine {
+func (f *cluster) reportingEngine(id string) *reportingEngine {
 	l, err := net.Listen("tcp", f.ip(100)+":0")
 	if err != nil {
 		f.t.Fatal(err)
@@ -54,7 +54,7 @@
 	s := &http.Server{Handler: e, ReadHeaderTimeout: time.Second}
 	go func() { _ = s.Serve(l) }()
 	f.t.Cleanup(func() { _ = s.Close() })
-	f.beats(id, e.address)
+	f.sendHeartbeats(id, e.address)
 	return e
 }
 
@@ -154,7 +154,7 @@
 }
 
 // startLoad sends 20 requests a second to each router until the returned function is called.
-func (f *fleet) startLoad(routers ...int) (stop func()) {
+func (f *cluster) startLoad(routers ...int) (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	for _, r := range routers {
@@ -167,7 +167,7 @@
 					return
 				case <-time.After(50 * time.Millisecond):
 				}
-				f.ask(r, fmt.Sprintf("r%d-%d", r, i), "10,10")
+				f.request(r, fmt.Sprintf("r%d-%d", r, i), "10,10")
 			}
 		}()
 	}
@@ -177,7 +177,7 @@
 // Guards against routers that together send more requests to an endpoint than the rate
 // limit in its responses allows, and against routers that stop using it altogether.
 func TestEndpointGetsNoMoreThanItsRateLimit(t *testing.T) {
-	f, g := start(t, 68)
+	f, g := startCluster(t, 68)
 	f.publish(g, 1, document(2, 10_000_000))
 	routers := []int{4, 5, 6}
 	for _, r := range routers {
@@ -185,7 +185,7 @@
 	}
 	limited, unlimited := f.reportingEngine("i-1"), f.reportingEngine("i-2")
 	for _, r := range routers {
-		f.serves(g, r)
+		f.awaitServing(g, r)
 	}
 	stop := f.startLoad(routers...)
 	time.Sleep(time.Second)
@@ -203,7 +203,7 @@
 // Guards against routers that never use an endpoint again after its rate limit was
 // removed, because they send no requests whose responses would report that.
 func TestEndpointIsUsedAgainAfterItsRateLimit(t *testing.T) {
-	f, g := start(t, 69)
+	f, g := startCluster(t, 69)
 	f.publish(g, 1, document(2, 10_000_000))
 	routers := []int{4, 5, 6}
 	for _, r := range routers {
@@ -212,7 +212,7 @@
 	e := f.reportingEngine("i-1")
 	f.reportingEngine("i-2")
 	for _, r := range routers {
-		f.serves(g, r)
+		f.awaitServing(g, r)
 	}
 	defer f.startLoad(routers...)()
 	time.Sleep(time.Second)
@@ -226,7 +226,7 @@
 // Guards against requests to an endpoint that is shedding load before its Retry-After period
 // has elapsed, and against routers that don't use the endpoint again after it recovers.
 func TestEndpointGetsNoRequestsBeforeItsRetryAfter(t *testing.T) {
-	f, g := start(t, 70)
+	f, g := startCluster(t, 70)
 	f.publish(g, 1, document(2, 10_000_000))
 	routers := []int{4, 5, 6}
 	for _, r := range routers {
@@ -235,7 +235,7 @@
 	shedding := f.reportingEngine("i-1")
 	f.reportingEngine("i-2")
 	for _, r := range routers {
-		f.serves(g, r)
+		f.awaitServing(g, r)
 	}
 	defer f.startLoad(routers...)()
 	time.Sleep(time.Second)
--- a/courier/evacuation.go
+++ b/courier/evacuation.go
@@ -10,16 +10,17 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// evacuatedZones is what a router knows of evacuations; immutable.
+// evacuatedZones is an immutable snapshot of the known evacuations.
 type evacuatedZones struct {
-	// Revision only grows in the life of a router.
+	// revision never decreases while a router runs.
 	revision uint64
 	zones    map[string]bool
-	// Returned holds when zones were put back in service, no earlier than they were.
+	// returned holds when zones were put back in service. The times may be later than the
+	// actual ones, never earlier.
 	returned map[string]time.Time
 }
 
-// evacuations follows the evacuated zones. It is safe for concurrent use.
+// evacuations tracks the evacuated zones. It is safe for concurrent use.
 type evacuations struct {
 	log     *zap.Logger
 	mu      sync.Mutex
@@ -34,8 +35,8 @@
 
 func (e *evacuations) load() *evacuatedZones { return e.current.Load() }
 
-// learn takes in what a keeper tells, unless the router knows of something newer.
-func (e *evacuations) learn(now time.Time, m *messenger.Evacuations) {
+// update applies a keeper's message, unless a newer revision is known.
+func (e *evacuations) update(now time.Time, m *messenger.Evacuations) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if m.GetRevision() <= e.load().revision {
--- a/courier/evacuation_test.go
+++ b/courier/evacuation_test.go
@@ -9,8 +9,8 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Guards against new work for an evacuated zone, and against a keeper that lags and
-// brings the zone back.
+// Guards against new requests to an evacuated zone, and against a lagging keeper that
+// cancels the evacuation.
 func TestEvacuatedZoneGetsNoWork(t *testing.T) {
 	g := gomega.NewWithT(t)
 	k := &keeperStub{}
@@ -28,5 +28,5 @@
 	g.Consistently(names, 500*time.Millisecond, 10*time.Millisecond).Should(gomega.Equal([]string{"b"}))
 	k.evacuations.Store(&messenger.Evacuations{Revision: 4})
 	g.Eventually(names, time.Second, 10*time.Millisecond).Should(gomega.HaveLen(2))
-	g.Expect(f.table.Endpoints("s")).To(gomega.ConsistOf(before[0], before[1]), "with what was learned of them")
+	g.Expect(f.table.Endpoints("s")).To(gomega.ConsistOf(before[0], before[1]), "the same endpoints, with their learned state")
 }
--- a/courier/fleet_test.go
+++ b/courier/fleet_test.go
@@ -21,20 +21,20 @@
 	"rattanhoist.example/rattanhoist/publisher"
 )
 
-// keeperStub answers questions, each after a delay.
+// keeperStub is a keeper that answers sync and fetch requests, each after a delay.
 type keeperStub struct {
 	messenger.UnimplementedFleetKeeperServer
 	sync, fetch atomic.Int64
-	// Newer is added to the number of its document, which is 1.
-	newer atomic.Int64
-	// Age is how long ago a majority confirmed its copy, in milliseconds.
+	// numberOffset is added to the number of its document, which is 1.
+	numberOffset atomic.Int64
+	// age is how long ago a majority confirmed its copy, in milliseconds.
 	age   atomic.Int64
-	asked atomic.Int64
-	// Sightings are the endpoints that it tells of, at a revision of their own.
+	syncs atomic.Int64
+	// sightings are the endpoints that it reports.
 	sightings atomic.Pointer[messenger.Sightings]
-	// AskedEndpoints counts the questions for endpoints.
-	askedEndpoints atomic.Int64
-	// Evacuations are told with each answer.
+	// endpointSyncs counts the sync requests that ask for endpoints.
+	endpointSyncs atomic.Int64
+	// evacuations are sent with each reply.
 	evacuations atomic.Pointer[messenger.Evacuations]
 	claims      atomic.Int64
 	cut         atomic.Bool
@@ -50,12 +50,12 @@
 	}
 }
 
-func (k *keeperStub) number() uint64 { return uint64(1 + k.newer.Load()) }
+func (k *keeperStub) number() uint64 { return uint64(1 + k.numberOffset.Load()) }
 
 func (k *keeperStub) Sync(ctx context.Context, q *messenger.SyncRequest) (*messenger.SyncReply, error) {
-	k.asked.Add(1)
+	k.syncs.Add(1)
 	if !q.SkipEndpoints {
-		k.askedEndpoints.Add(1)
+		k.endpointSyncs.Add(1)
 	}
 	out := &messenger.SyncReply{Number: k.number(), ConfirmedAgeMs: k.age.Load(), Evacuations: k.evacuations.Load()}
 	if s := k.sightings.Load(); s != nil {
@@ -68,7 +68,7 @@
 	return &messenger.FleetDocumentReply{Number: k.number(), Content: k.content}, pause(ctx, k.fetch.Load())
 }
 
-// Order takes claims, unless the keeper is cut off.
+// Order grants claims, unless the keeper is cut off.
 func (k *keeperStub) Order(ctx context.Context, q *messenger.OrderRequest) (*messenger.OrderReply, error) {
 	if k.cut.Load() {
 		return nil, pause(ctx, int64(time.Minute))
@@ -81,6 +81,7 @@
 	return &messenger.OrderReply{Done: true, Grants: out}, nil
 }
 
+// serveStub serves a keeper stub and returns its address.
 func serveStub(t *testing.T, k *keeperStub) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -96,12 +97,13 @@
 	return l.Addr().String()
 }
 
-// startFleet runs a router's view of keepers at addresses.
-func startFleet(t *testing.T, keepers ...string) *fleet {
+// startFleet runs a fleetView with the given keeper addresses.
+func startFleet(t *testing.T, keepers ...string) *fleetView {
 	return startFleetWith(t, func(*Options) {}, keepers...)
 }
 
-func startFleetWith(t *testing.T, change func(*Options), keepers ...string) *fleet {
+// startFleetWith is startFleet with changed options.
+func startFleetWith(t *testing.T, change func(*Options), keepers ...string) *fleetView {
 	text := "[node]\nname = n\nkind = router\nzone = z\nip = 127.0.0.1\ninternal_ports = 1\nseeds = 127.0.0.1:9"
 	file := filepath.Join(t.TempDir(), "node.ini")
 	if err := os.WriteFile(file, []byte(text+"\nserve = 127.0.0.1:2\nready = 127.0.0.1:3\nheartbeat_ms = 300\ngrace_s = 5\n"), 0o600); err != nil {
@@ -115,11 +117,11 @@
 	belongs := func(http.Header, string) pooler.Belonging { return pooler.Own }
 	o := Options{Node: n, Log: zap.NewNop(), Decode: decode}
 	change(&o)
-	f := newFleet(o, 1, predictor.NewTable("z"), pooler.New(belongs, func() {}))
-	f.published = func(*publisher.Document) {}
+	f := newFleetView(o, 1, predictor.NewTable("z"), pooler.New(belongs, func() {}))
+	f.onDocument = func(*publisher.Document) {}
 	clear(f.keepers)
 	for _, k := range keepers {
-		f.learn(k, "")
+		f.addKeeper(k, "")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -128,8 +130,8 @@
 	return f
 }
 
-// inService returns the endpoints of service s, by name.
-func inService(f *fleet) []string {
+// inService returns the names of the endpoints of service s.
+func inService(f *fleetView) []string {
 	var out []string
 	for _, e := range f.table.Endpoints("s") {
 		out = append(out, e.Name())
@@ -137,11 +139,10 @@
 	return out
 }
 
-// Symptom: a router takes itself for cut off, refuses requests for lack of
-// rights and serves an old configuration, while all keepers are well.
-// Sequence: callers fill its link, and each answer of a keeper takes 0.6 s.
-// Cause: each keeper in turn is given less than that.
-func TestSlowAnswersAreAnswers(t *testing.T) {
+// Guards against a router that considers itself disconnected while its keepers are healthy, and
+// then refuses requests for lack of rights and serves an old configuration. Callers fill its
+// link, so that each keeper's reply takes 0.6 s, longer than the timeout of one keeper.
+func TestSlowKeepersKeepRouterConnected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var addresses []string
 	for range 3 {
@@ -151,73 +152,72 @@
 	}
 	f := startFleet(t, addresses...)
 	g.Eventually(f.Index, 5*time.Second, 10*time.Millisecond).ShouldNot(gomega.BeNil())
-	g.Consistently(f.outOfTouch, 4*time.Second, 10*time.Millisecond).Should(gomega.BeFalse())
+	g.Consistently(f.disconnected, 4*time.Second, 10*time.Millisecond).Should(gomega.BeFalse())
 }
 
-// Symptom: every configuration comes into force late. Sequence: the keeper of
-// the zone is cut off: it takes questions and never answers. Cause: it is asked
-// first, again and again.
-func TestCutKeeperDelaysNoQuestion(t *testing.T) {
+// Guards against configurations that come into force late because a keeper that is cut off
+// is asked first again and again. The keeper is in the router's zone, accepts requests and
+// never answers.
+func TestCutKeeperDelaysNoSync(t *testing.T) {
 	g := gomega.NewWithT(t)
-	cut, well := &keeperStub{}, &keeperStub{}
+	cut, healthy := &keeperStub{}, &keeperStub{}
 	cut.sync.Store(int64(time.Minute))
 	address := serveStub(t, cut)
-	f := startFleet(t, address, serveStub(t, well))
-	f.learn(address, f.self.Zone)
+	f := startFleet(t, address, serveStub(t, healthy))
+	f.addKeeper(address, f.self.Zone)
 	g.Eventually(f.Index, 3*time.Second, 10*time.Millisecond).ShouldNot(gomega.BeNil())
-	// A question to the cut keeper ends after two seconds; asked first again right
+	// A sync with the cut keeper times out after 2 s. If it were asked first again right
 	// then, it would delay four rounds in nine seconds.
 	time.Sleep(500 * time.Millisecond)
-	late, asked, last := 0, well.asked.Load(), time.Now()
+	late, asked, last := 0, healthy.syncs.Load(), time.Now()
 	for end := time.Now().Add(9 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		n := well.asked.Load()
+		n := healthy.syncs.Load()
 		if n == asked {
 			continue
 		}
-		if time.Since(last) > syncEvery+askNext/2 {
+		if time.Since(last) > syncInterval+nextKeeperDelay/2 {
 			late++
 		}
 		asked, last = n, time.Now()
 	}
 	g.Expect(late).To(gomega.BeNumerically("<=", 2), "rounds that the cut keeper delayed")
-	g.Expect(f.outOfTouch()).To(gomega.BeFalse())
+	g.Expect(f.disconnected()).To(gomega.BeFalse())
 }
 
-// Symptom: after a cut, a router goes to the keeper that knows a leader 0.35 s
-// later in each round, and dies before it has told what it spent. Sequence: the
-// first keeper asked answers at once that no majority confirmed its copy. Cause:
-// the router waits for an answer of another one that it has not asked yet.
-func TestKeeperWithoutAMajorityDelaysNoQuestion(t *testing.T) {
+// Guards against a router that, after a partition, waits 0.35 s in each round before it
+// asks the keeper that knows a leader, and ends before it has reported what it spent. The
+// keeper asked first replies at once that no majority has confirmed its copy, and the
+// router waits for a reply of another one that it has not asked yet.
+func TestKeeperWithoutMajorityDelaysNoSync(t *testing.T) {
 	g := gomega.NewWithT(t)
-	stale, well := &keeperStub{}, &keeperStub{}
+	stale, healthy := &keeperStub{}, &keeperStub{}
 	stale.age.Store(5000)
 	address := serveStub(t, stale)
-	f := startFleet(t, address, serveStub(t, well))
-	// It is asked first, as that of the router's zone.
-	f.learn(address, f.self.Zone)
+	f := startFleet(t, address, serveStub(t, healthy))
+	// As a keeper of the router's zone, it is asked first.
+	f.addKeeper(address, f.self.Zone)
 	g.Eventually(f.Index, 3*time.Second, 10*time.Millisecond).ShouldNot(gomega.BeNil())
-	before := well.asked.Load()
+	before := healthy.syncs.Load()
 	time.Sleep(2 * time.Second)
-	g.Expect(well.asked.Load()-before).To(gomega.BeNumerically(">=", 8), "questions in 2 s, at most ten")
+	g.Expect(healthy.syncs.Load()-before).To(gomega.BeNumerically(">=", 8), "syncs in 2 s, at most ten")
 }
 
-// Symptom: a router hears nothing of keepers for as long as a large
-// configuration is on its way over a small link. Sequence: a new document, which
-// takes 1.2 s. Cause: it is fetched within the round of questions.
-func TestLargeDocumentDelaysNoQuestion(t *testing.T) {
+// Guards against a large document that stops the sync rounds while it is fetched over a
+// slow link, here for 1.2 s.
+func TestLargeDocumentDelaysNoSync(t *testing.T) {
 	g := gomega.NewWithT(t)
 	k := &keeperStub{}
 	k.fetch.Store(int64(1200 * time.Millisecond))
 	f := startFleet(t, serveStub(t, k))
-	g.Eventually(k.asked.Load, 2*time.Second, 10*time.Millisecond).Should(gomega.BeNumerically(">", 0))
-	before := k.asked.Load()
+	g.Eventually(k.syncs.Load, 2*time.Second, 10*time.Millisecond).Should(gomega.BeNumerically(">", 0))
+	before := k.syncs.Load()
 	time.Sleep(time.Second)
-	g.Expect(f.Index()).To(gomega.BeNil(), "it is still on its way")
-	g.Expect(k.asked.Load()-before).To(gomega.BeNumerically(">=", 3), "questions in 1 s")
+	g.Expect(f.Index()).To(gomega.BeNil(), "the fetch is still in progress")
+	g.Expect(k.syncs.Load()-before).To(gomega.BeNumerically(">=", 3), "syncs in 1 s")
 	g.Eventually(f.Index, 2*time.Second, 10*time.Millisecond).ShouldNot(gomega.BeNil())
 }
 
-// lenderStub lends what it has, after a delay.
+// lenderStub is a router that lends the tokens it has, after a delay.
 type lenderStub struct {
 	messenger.UnimplementedFleetRouterServer
 	has   atomic.Int64
@@ -238,9 +238,9 @@
 	return out, nil
 }
 
-// cutOff returns the rights of a router that no keeper answers, among others
-// that hold some tokens each.
-func cutOff(t *testing.T, routers int, tokens int64, delay time.Duration) *rights {
+// startDisconnected returns the rights of a router that can't reach any keeper, in a fleet
+// with the given number of other routers, each of which holds the given number of tokens.
+func startDisconnected(t *testing.T, routers int, tokens int64, delay time.Duration) *rights {
 	f := startFleet(t)
 	var members []*messenger.FleetMember
 	for range routers {
@@ -256,26 +256,25 @@
 		t.Cleanup(s.Stop)
 		members = append(members, &messenger.FleetMember{Address: l.Addr().String(), Zone: "z"})
 	}
-	f.meet(members)
-	f.known.Store(1)
+	f.updatePeers(members)
+	f.routerCount.Store(1)
 	r := newRights(f, "127.0.0.1:1", zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	go r.run(ctx)
 	t.Cleanup(cancel)
-	for !f.outOfTouch() {
+	for !f.disconnected() {
 		time.Sleep(10 * time.Millisecond)
 	}
 	return r
 }
 
-// Symptom: a router with 250 requests a second borrows nothing for nine seconds,
-// while the others hold rights that they don't need. Sequence: no keeper
-// answers; each request looks for a lender, and others take 100 ms to answer.
-// Cause: each search has only what is left of its request's time, one search
-// after the other.
+// Guards against a router with 250 requests a second that borrows nothing for nine seconds,
+// although others hold rights that they don't need. No keeper can be reached, and other
+// routers take 100 ms to answer. If each request searches for a lender by itself, one after
+// the other, each search has only the remaining time of its request.
 func TestManyRequestsBorrowTogether(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := cutOff(t, 20, 40_000, 100*time.Millisecond)
+	r := startDisconnected(t, 20, 40_000, 100*time.Millisecond)
 	const requests = 200
 	results := make(chan error, requests)
 	for i := range requests {
@@ -294,13 +293,13 @@
 	g.Expect(served).To(gomega.BeNumerically(">=", requests*9/10), fmt.Sprint("of ", requests, "; 20 routers hold 800,000 tokens, they need 600,000"))
 }
 
-// Symptom: a request is refused as out of reach while one of many routers holds
-// enough. Sequence: no keeper answers; all but one of 20 others hold nothing.
-// Cause: only some of them are asked.
+// Guards against a request that is refused as out of reach while one of many routers holds
+// enough rights. No keeper can be reached, only one of 20 other routers has tokens, and the
+// search asks only some of them.
 func TestAllRoutersAreAskedBeforeARefusal(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := cutOff(t, 20, 0, 0)
-	last, ok := r.fleet.others()[0], false
+	r := startDisconnected(t, 20, 0, 0)
+	last, ok := r.fleet.allPeers()[0], false
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	x := &lenderStub{}
@@ -310,97 +309,95 @@
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(s.Stop)
 	r.fleet.mu.Lock()
-	for i, o := range r.fleet.siblings {
+	for i, o := range r.fleet.peers {
 		if o == last {
-			r.fleet.siblings[i], ok = messenger.NewLink(l.Addr().String()), true
+			r.fleet.peers[i], ok = messenger.NewLink(l.Addr().String()), true
 		}
 	}
 	r.fleet.mu.Unlock()
 	g.Expect(ok).To(gomega.BeTrue())
-	// The search begins right after it.
+	// The next search begins with the peer after it.
 	r.borrower.mu.Lock()
-	r.borrower.next = 0
+	r.borrower.nextPeer = 0
 	r.borrower.mu.Unlock()
 	_, err = r.Reserve(context.Background(), "w", 3_000)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	begun := time.Now()
 	_, err = r.Reserve(context.Background(), "w", 300_000)
 	g.Expect(err).To(gomega.HaveOccurred())
-	g.Expect(time.Since(begun)).To(gomega.BeNumerically("<", 400*time.Millisecond), "known to fail once all were asked")
+	g.Expect(time.Since(begun)).To(gomega.BeNumerically("<", 400*time.Millisecond), "fails as soon as all routers have been asked")
 }
 
-// Symptom: a request is refused as out of reach in the first second of a cut,
-// while others hold rights. Sequence: it waits for keepers that were in touch
-// when it came; they fall silent. Cause: it waits for them until its time is
-// gone.
-func TestWaitingRequestNoticesACut(t *testing.T) {
+// Guards against a request that is refused as out of reach in the first second of a
+// partition, while others hold rights. It waits for keepers that are reachable when it
+// arrives and then fall silent, until no time is left to borrow.
+func TestWaitingRequestDetectsPartition(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := cutOff(t, 5, 40_000, 0)
-	// The keepers answered 0.75 s ago, so that they count as silent 0.15 s after
-	// the request comes.
-	r.fleet.touched.Store(int64(time.Since(r.fleet.start) - 750*time.Millisecond))
-	g.Expect(r.fleet.outOfTouch()).To(gomega.BeFalse())
+	r := startDisconnected(t, 5, 40_000, 0)
+	// The keepers answered 0.75 s ago, so the router considers itself disconnected 0.15 s
+	// after the request arrives.
+	r.fleet.lastContact.Store(int64(time.Since(r.fleet.startedAt) - 750*time.Millisecond))
+	g.Expect(r.fleet.disconnected()).To(gomega.BeFalse())
 	_, err := r.Reserve(context.Background(), "w", 3_000)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
-// Symptom: a router dies half a second after a cut, and all that it might have
-// spent in the cut is written off. Sequence: after the cut a claim waits at a
-// keeper that knows no leader; another one answers. Cause: the claim waits on for
-// up to 1.5 s, and only the next one tells the keepers what was spent.
+// Guards against writing off all that a router might have spent in a partition, if it ends
+// half a second after the partition. A claim waits at a keeper that knows no leader while
+// another keeper answers. If the claim waited for its timeout of up to 1.5 s, only the next
+// one would report what was spent.
 func TestClaimGoesToTheKeeperThatAnswers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	k := &keeperStub{}
 	f := startFleet(t, serveStub(t, k))
 	r := newRights(f, "127.0.0.1:1", zap.NewNop())
-	g.Eventually(f.current.Load, 2*time.Second, 5*time.Millisecond).ShouldNot(gomega.BeNil())
-	g.Eventually(f.turned, time.Second).Should(gomega.Receive())
+	g.Eventually(f.currentKeeper.Load, 2*time.Second, 5*time.Millisecond).ShouldNot(gomega.BeNil())
+	g.Eventually(f.keeperChanged, time.Second).Should(gomega.Receive())
 	r.purse("w")
 	k.cut.Store(true)
 	ended := make(chan time.Duration, 1)
-	go func() { ended <- r.claimAnew(context.Background(), patientClaim) }()
+	go func() { ended <- r.claimFromCurrent(context.Background(), slowClaimTimeout) }()
 	time.Sleep(200 * time.Millisecond)
 	g.Expect(k.claims.Load()).To(gomega.BeZero())
 	k.cut.Store(false)
-	f.turned <- struct{}{}
+	f.keeperChanged <- struct{}{}
 	g.Eventually(k.claims.Load, 300*time.Millisecond, time.Millisecond).Should(gomega.Equal(int64(1)))
 	g.Eventually(ended, time.Second).Should(gomega.Receive(gomega.Equal(claimTimeout)))
 }
 
-// Symptom: requests wait until their deadline at an endpoint that is well.
-// Sequence: it loses power with requests under way and starts again under its id
-// and address; no reset comes from there.
-// Cause: the id taken for the incarnation.
-func TestRequestsAtAnEarlierLifeEnd(t *testing.T) {
+// Guards against requests that wait until their deadline at a healthy endpoint. It loses
+// power with requests in progress and restarts with the same id and address, so no TCP
+// reset arrives. The router must compare incarnations, not ids.
+func TestRequestsToPreviousIncarnationFail(t *testing.T) {
 	g := gomega.NewWithT(t)
-	dark, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	defer dark.Close()
-	born := func(ms int64) *messenger.Sightings {
-		return &messenger.Sightings{Sightings: []*messenger.Sighting{{Id: "e", BornMs: ms, Service: "s", Address: dark.Addr().String(), Zone: "z", Slots: 1, Sequence: 1}}}
+	defer listener.Close()
+	sightingsOf := func(ms int64) *messenger.Sightings {
+		return &messenger.Sightings{Sightings: []*messenger.Sighting{{Id: "e", BornMs: ms, Service: "s", Address: listener.Addr().String(), Zone: "z", Slots: 1, Sequence: 1}}}
 	}
 	k := &keeperStub{}
-	k.sightings.Store(born(1))
+	k.sightings.Store(sightingsOf(1))
 	f := startFleet(t, serveStub(t, k))
 	names := func() []string { return inService(f) }
 	g.Eventually(names, 3*time.Second, 10*time.Millisecond).Should(gomega.Equal([]string{"e@1"}))
 	ended := make(chan error, 1)
 	go func() {
-		_, err := f.pool.Exchange(t.Context(), pooler.Target{ID: "e@1", Address: dark.Addr().String(), Most: 1}, &pooler.Request{Method: "GET", URI: "/", ID: "r"})
+		_, err := f.pool.Exchange(t.Context(), pooler.Target{ID: "e@1", Address: listener.Addr().String(), Most: 1}, &pooler.Request{Method: "GET", URI: "/", ID: "r"})
 		ended <- err
 	}()
 	g.Consistently(ended, 300*time.Millisecond).ShouldNot(gomega.Receive())
-	k.sightings.Store(born(2))
+	k.sightings.Store(sightingsOf(2))
 	var got error
 	g.Eventually(ended, time.Second).Should(gomega.Receive(&got))
-	g.Expect(got).To(gomega.MatchError(pooler.ErrMayHaveRun), "the life before may have run it")
+	g.Expect(got).To(gomega.MatchError(pooler.ErrMayHaveRun), "the previous incarnation may have run it")
 	g.Expect(names()).To(gomega.Equal([]string{"e@2"}))
 }
 
-// Symptom: after a restart of all routers every shared part is read again.
-// Sequence: routers start while engines have been running; nobody knows what they
-// keep. Cause: only what routers send is known.
-func TestAStartingRouterAsksEnginesWhatTheyKeep(t *testing.T) {
+// Guards against reading every shared prompt part again after a restart of all routers.
+// Routers only know the parts that they sent themselves, so a starting router has to query
+// engines that have been running.
+func TestStartingRouterQueriesPrefixCaches(t *testing.T) {
 	g := gomega.NewWithT(t)
 	k := &keeperStub{}
 	k.sightings.Store(&messenger.Sightings{Sightings: []*messenger.Sighting{
@@ -428,10 +425,9 @@
 	g.Expect(w.Unread()).To(gomega.Equal(int64(1_000)))
 }
 
-// Symptom: callers of an outage are refused for good. Sequence: routers and keepers
-// start at the same moment; callers come at once and are sent away; they come back,
-// once, before there is a configuration. Cause: "no configuration yet" is answered at
-// once, though it will be there within the second.
+// Guards against callers that are refused for good because routers and keepers start at the
+// same time. A caller that arrives before the first configuration, and is refused at once,
+// retries only once, which may also be before the configuration arrives within the second.
 func TestCallersWaitForTheFirstConfiguration(t *testing.T) {
 	g := gomega.NewWithT(t)
 	k := &keeperStub{}
@@ -442,15 +438,15 @@
 	g.Expect(x.Number()).To(gomega.Equal(uint64(1)))
 }
 
-// A router without keepers lets nobody wait for long, and says when it takes what its
-// zone has.
-func TestCallersDoNotWaitForKeepersThatAreGone(t *testing.T) {
+// Guards against callers that wait for long at a router that can't reach any keeper. It
+// returns after what time the router will accept an unconfirmed document.
+func TestCallersDoNotWaitForUnreachableKeepers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := startFleet(t)
 	x, after := f.Await(t.Context())
 	g.Expect(x).To(gomega.BeNil())
-	g.Expect(time.Since(f.start)).To(gomega.BeNumerically("~", startPatience, 200*time.Millisecond))
-	g.Expect(after).To(gomega.BeNumerically("~", settleFor-startPatience, 200*time.Millisecond))
+	g.Expect(time.Since(f.startedAt)).To(gomega.BeNumerically("~", firstDocumentWait, 200*time.Millisecond))
+	g.Expect(after).To(gomega.BeNumerically("~", unconfirmedDelay-firstDocumentWait, 200*time.Millisecond))
 	begun := time.Now()
 	x, _ = f.Await(t.Context())
 	g.Expect(x).To(gomega.BeNil())
--- a/courier/liveness.go
+++ b/courier/liveness.go
@@ -15,71 +15,71 @@
 )
 
 const (
-	// gatherFor is how long a router waits before it asks whether an endpoint has
-	// ended: all that was under way there breaks off within that time.
-	gatherFor = 20 * time.Millisecond
-	// refusalTimeout bounds one such question, over a link that callers fill too, and
-	// askAgain is the pause before the next where nothing answers.
-	refusalTimeout = time.Second
-	askAgain       = 100 * time.Millisecond
-	// askUntil is when an endpoint that neither takes nor refuses a connection is
-	// taken for cut off: one that ended may be back after that.
-	askUntil = 1500 * time.Millisecond
+	// gatherDelay is how long a router waits before it checks whether an endpoint has
+	// ended. All requests in progress there fail within that time.
+	gatherDelay = 20 * time.Millisecond
+	// dialTimeout bounds one connection attempt, over a link that callers fill too.
+	// dialRetryInterval is the pause before the next attempt if there was no response.
+	dialTimeout       = time.Second
+	dialRetryInterval = 100 * time.Millisecond
+	// probeDuration is how long an endpoint is probed that neither accepts nor refuses
+	// connections. It is then considered unreachable rather than ended, since an endpoint
+	// that ended may have restarted by that time.
+	probeDuration = 1500 * time.Millisecond
 )
 
-// livenessChecks tell whether an endpoint ended while requests were under way there. That
-// a connection breaks off does not show it: endpoints and links reset connections
-// and live on.
+// livenessChecks determine whether an endpoint ended while requests were in progress there. A
+// broken connection does not show that: endpoints and links reset connections and keep running.
 type livenessChecks struct {
 	log *zap.Logger
-	// Crashed takes what was under way at an endpoint that ended.
-	crashed func([]quarantiner.Crash)
+	// onCrash receives the requests that were in progress at an endpoint that ended.
+	onCrash func([]quarantiner.Crash)
 
 	mu sync.Mutex
-	// Open holds what broke off at endpoints that are being asked.
-	open map[enroller.Incarnation][]quarantiner.Crash
+	// pending holds the requests that failed at endpoints that are being checked.
+	pending map[enroller.Incarnation][]quarantiner.Crash
 }
 
 func newLivenessChecks(log *zap.Logger, crashed func([]quarantiner.Crash)) *livenessChecks {
-	return &livenessChecks{log: log, crashed: crashed, open: map[enroller.Incarnation][]quarantiner.Crash{}}
+	return &livenessChecks{log: log, onCrash: crashed, pending: map[enroller.Incarnation][]quarantiner.Crash{}}
 }
 
-// brokenOff notes what is a crash if the endpoint turns out to have ended.
-func (l *livenessChecks) brokenOff(b enroller.Beat, c quarantiner.Crash) {
+// connectionBroken records a request that counts as a crash if the endpoint has ended.
+func (l *livenessChecks) connectionBroken(b enroller.Beat, c quarantiner.Crash) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	list, asked := l.open[b.Incarnation]
-	l.open[b.Incarnation] = append(list, c)
-	if !asked {
+	list, checking := l.pending[b.Incarnation]
+	l.pending[b.Incarnation] = append(list, c)
+	if !checking {
 		go l.check(b)
 	}
 }
 
-// check asks one endpoint, and tells what was under way there if it has ended.
+// check probes an endpoint, and reports the requests that failed there if it has ended.
 func (l *livenessChecks) check(b enroller.Beat) {
-	time.Sleep(gatherFor)
-	refused := refuses(b.Address)
+	time.Sleep(gatherDelay)
+	refused := refusesConnections(b.Address)
 	l.mu.Lock()
-	list := l.open[b.Incarnation]
-	delete(l.open, b.Incarnation)
+	list := l.pending[b.Incarnation]
+	delete(l.pending, b.Incarnation)
 	l.mu.Unlock()
 	if !refused {
 		return
 	}
-	endpointsEnded.Inc()
+	endpointCrashes.Inc()
 	contents := make([]quarantiner.Fingerprint, len(list))
 	for i, c := range list {
 		contents[i] = c.Request
 	}
 	l.log.Info("endpoint ended under requests", zap.Stringer("endpoint", b.Incarnation), zap.String("service", b.Service), zap.Stringers("contents", contents))
-	l.crashed(list)
+	l.onCrash(list)
 }
 
-// refuses reports whether nothing listens at an address. An endpoint that lives takes
-// the connection, one behind a cut is silent.
-func refuses(address string) bool {
-	for begun := time.Now(); time.Since(begun) < askUntil; time.Sleep(askAgain) {
-		ctx, cancel := context.WithTimeout(context.Background(), refusalTimeout)
+// refusesConnections reports whether nothing listens at an address. A running endpoint
+// accepts the connection, and an unreachable one doesn't respond.
+func refusesConnections(address string) bool {
+	for begun := time.Now(); time.Since(begun) < probeDuration; time.Sleep(dialRetryInterval) {
+		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		cancel()
 		if err == nil {
--- a/courier/owner.go
+++ b/courier/owner.go
@@ -17,23 +17,24 @@
 )
 
 const (
-	// minFloor is the least worth holding ahead of demand, in tokens: a small request. The
-	// rights of a workspace of which an even share would be less are pooled: in each
-	// availability zone one router, the owner, holds them for all.
+	// minFloor is the smallest amount worth holding ahead of demand, in tokens: a small
+	// request. If floorShare is less for a workspace, its rights are pooled: in each
+	// availability zone one router, the owner, holds them for all routers of the zone.
 	minFloor = 500
-	// floorDelay is how long after its start a router holds nothing ahead of demand of more
-	// than maxEagerFloors workspaces: until then it does not know how many routers there are.
+	// floorDelay is how long after its start a router holds nothing ahead of demand if
+	// there are more than maxEagerFloors workspaces. Until then, it does not know how many
+	// routers there are.
 	floorDelay     = 3 * time.Second
 	maxEagerFloors = 32
-	// maxOwners is how many routers are asked in turn, the owner and its successor.
+	// maxOwners is how many routers are asked in turn: the owner and its successor.
 	maxOwners    = 2
 	ownerTimeout = 350 * time.Millisecond
-	// elsewhereTimeout bounds a question to another zone, which may pass it on.
-	elsewhereTimeout = 300 * time.Millisecond
-	// ownerSuspectTTL is how long an owner that did not answer is passed over.
+	// otherZoneTimeout bounds a request to a router in another zone, which may pass it on.
+	otherZoneTimeout = 300 * time.Millisecond
+	// ownerSuspectTTL is how long an owner is skipped after it has not answered.
 	ownerSuspectTTL = 2 * time.Second
-	// returnInterval is how often a router gives back to owners what it borrowed and did
-	// not spend, and minReturn the least worth giving back, in tokens.
+	// returnInterval is how often a router returns unspent borrowed rights to owners, and
+	// minReturn the smallest amount worth returning, in tokens.
 	returnInterval = time.Second
 	minReturn      = 500
 )
@@ -41,17 +42,17 @@
 // owners finds the routers that hold the pooled rights of workspaces. It is safe for
 // concurrent use.
 type owners struct {
-	fleet *fleet
+	fleet *fleetView
 	mu    sync.Mutex
-	// Suspects holds until when routers are passed over, by address.
+	// suspects holds, by address, the time until which a router is skipped.
 	suspects map[string]time.Time
 }
 
-func newOwners(f *fleet) *owners { return &owners{fleet: f, suspects: map[string]time.Time{}} }
+func newOwners(f *fleetView) *owners { return &owners{fleet: f, suspects: map[string]time.Time{}} }
 
-// of returns the routers to ask for a workspace's rights, in order, up to this router: nil
-// if this router is the owner.
-func (o *owners) of(now time.Time, workspace string) []*messenger.Link {
+// ahead returns the routers to ask for a workspace's rights, in order. These are the
+// routers that rank higher than this one; the result is nil if this router is the owner.
+func (o *owners) ahead(now time.Time, workspace string) []*messenger.Link {
 	type ranked struct {
 		link *messenger.Link
 		hash uint64
@@ -71,11 +72,13 @@
 	return out
 }
 
-// ownerRank orders the routers of a zone for a workspace, the highest first.
+// ownerRank ranks the routers of a zone for a workspace (rendezvous hashing). The router
+// with the highest rank is the owner.
 func ownerRank(address, workspace string) uint64 {
 	return xxhash.Sum64String(address + "\x00" + workspace)
 }
 
+// suspected reports whether a router is being skipped.
 func (o *owners) suspected(now time.Time, l *messenger.Link) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -86,56 +89,59 @@
 	return ok && now.Before(until)
 }
 
+// suspect skips a router for ownerSuspectTTL.
 func (o *owners) suspect(now time.Time, l *messenger.Link) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.suspects[l.Address()] = now.Add(ownerSuspectTTL)
 }
 
-// share is this router's even part of what is held of a workspace ahead of demand.
-func (r *rights) share(workspace string) int64 {
-	return r.totals[workspace] / int64(floorPart*max(r.fleet.Routers(), 1))
+// floorShare returns the part of a workspace's total that this router would hold ahead of
+// demand: its even share of the total, divided by floorDivisor. It needs r.mu.
+func (r *rights) floorShare(workspace string) int64 {
+	return r.totals[workspace] / int64(floorDivisor*max(r.fleet.Routers(), 1))
 }
 
-// pooled reports whether few routers of each zone hold the rights of a workspace.
+// pooled reports whether the rights of a workspace are held by one owner in each zone.
 func (r *rights) pooled(workspace string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, limited := r.totals[workspace]
-	return limited && r.share(workspace) < minFloor
+	return limited && r.floorShare(workspace) < minFloor
 }
 
-// reserveInZone sets pooled tokens aside: those that this router has left over, or those
-// that the owner in its zone lends. It is not done where this router has to look for them
-// itself.
+// reserveInZone reserves pooled tokens: from what this router holds already, or from a loan
+// ahead the owner in its zone. done is false if this router has to obtain the tokens itself,
+// because it is the owner or because no owner answers.
 func (r *rights) reserveInZone(ctx context.Context, workspace string, tokens int64, scope messenger.RightsScope) (res *reservation, done bool, err error) {
 	p, _, _ := r.purse(workspace)
 	if p.TakeHeld(time.Now(), tokens) {
 		return &reservation{purse: p, tokens: tokens}, true, nil
 	}
-	for _, l := range r.owners.of(time.Now(), workspace) {
+	for _, l := range r.owners.ahead(time.Now(), workspace) {
 		reply, err := l.ReserveRights(ctx, ownerTimeout, &messenger.ReserveRightsRequest{Workspace: workspace, Tokens: tokens, Scope: scope})
 		if err != nil {
-			r.ownerSilent(ctx, l, err)
+			r.ownerTimedOut(ctx, l, err)
 			continue
 		}
-		res, err := lent(p, tokens, reply)
+		res, err := acceptLoan(p, tokens, reply)
 		return res, true, err
 	}
 	return nil, false, nil
 }
 
-// ownerSilent passes an owner over that did not answer in time.
-func (r *rights) ownerSilent(ctx context.Context, l *messenger.Link, err error) {
-	ownersSilent.Inc()
+// ownerTimedOut records that an owner did not answer, and skips it for a
+// while unless ctx has ended.
+func (r *rights) ownerTimedOut(ctx context.Context, l *messenger.Link, err error) {
+	ownerFailures.Inc()
 	if ctx.Err() == nil {
 		r.owners.suspect(time.Now(), l)
 		r.log.Warn("owner of rights does not answer", zap.String("router", l.Address()), zap.Error(err))
 	}
 }
 
-// lent takes in what another router answered to a request for tokens.
-func lent(p *allotter.Purse, tokens int64, reply *messenger.ReserveRightsReply) (*reservation, error) {
+// acceptLoan converts the reply of another router to a reservation or an error.
+func acceptLoan(p *allotter.Purse, tokens int64, reply *messenger.ReserveRightsReply) (*reservation, error) {
 	switch {
 	case reply.Lent >= tokens:
 		borrowedTokens.AddInt64(reply.Lent)
@@ -145,18 +151,18 @@
 		rightsSpent.Inc()
 		return nil, forwarder.ErrSpent
 	}
-	rightsRefused.Inc()
+	rightsOutOfReach.Inc()
 	return nil, forwarder.OutOfReach{After: time.Duration(reply.RetryAfterMs) * time.Millisecond}
 }
 
-// borrowElsewhere asks one router of each other zone, two at once, which look at their own
-// zones' owners. It reports whether one lent the tokens, which are then set aside; what another
-// lends as well serves later requests here.
-func (r *rights) borrowElsewhere(ctx context.Context, p *allotter.Purse, workspace string, tokens int64) bool {
+// borrowFromOtherZones asks one router of each other zone, two at a time. Each of them asks
+// the owner in its own zone. It reports whether one lent the tokens, which are then
+// reserved. If a second router lends tokens too, they serve later requests here.
+func (r *rights) borrowFromOtherZones(ctx context.Context, p *allotter.Purse, workspace string, tokens int64) bool {
 	for peers := range slices.Chunk(r.fleet.remotePeers(), 2) {
 		answers := make(chan bool, len(peers))
 		for _, l := range peers {
-			go func() { answers <- r.borrowFrom(ctx, l, p, workspace, tokens) }()
+			go func() { answers <- r.borrowFromPeer(ctx, l, p, workspace, tokens) }()
 		}
 		for range peers {
 			select {
@@ -172,11 +178,11 @@
 	return false
 }
 
-// borrowFrom asks a router of another zone. Tokens that come too late for the request that
-// needs them serve others.
-func (r *rights) borrowFrom(ctx context.Context, l *messenger.Link, p *allotter.Purse, workspace string, tokens int64) bool {
+// borrowFromPeer asks a router of another zone. Tokens that arrive too late for the request
+// serve other requests.
+func (r *rights) borrowFromPeer(ctx context.Context, l *messenger.Link, p *allotter.Purse, workspace string, tokens int64) bool {
 	q := &messenger.ReserveRightsRequest{Workspace: workspace, Tokens: tokens, Scope: messenger.RightsScope_RIGHTS_SCOPE_ZONE}
-	reply, err := l.ReserveRights(context.WithoutCancel(ctx), elsewhereTimeout, q)
+	reply, err := l.ReserveRights(context.WithoutCancel(ctx), otherZoneTimeout, q)
 	if err != nil || reply.Lent < tokens {
 		return false
 	}
@@ -185,10 +191,10 @@
 	return true
 }
 
-// ReserveRights serves another router that is no owner of a workspace's rights, or that has
-// found too few in its own zone. What is lent counts as spent here.
+// ReserveRights serves another router that does not own a workspace's rights, or that has
+// found too few in its own zone. Lent tokens count as spent here.
 func (r *rights) ReserveRights(ctx context.Context, q *messenger.ReserveRightsRequest) (*messenger.ReserveRightsReply, error) {
-	res, err := r.reserveFor(ctx, q)
+	res, err := r.reserveForPeer(ctx, q)
 	if err == nil && ctx.Err() != nil {
 		res.Settle(0)
 		return nil, ctx.Err()
@@ -206,7 +212,8 @@
 	return out, nil
 }
 
-func (r *rights) reserveFor(ctx context.Context, q *messenger.ReserveRightsRequest) (*reservation, error) {
+// reserveForPeer reserves tokens for another router, within the scope of its request.
+func (r *rights) reserveForPeer(ctx context.Context, q *messenger.ReserveRightsRequest) (*reservation, error) {
 	if q.Scope == messenger.RightsScope_RIGHTS_SCOPE_ZONE {
 		if res, done, err := r.reserveInZone(ctx, q.Workspace, q.Tokens, messenger.RightsScope_RIGHTS_SCOPE_LOCAL); done {
 			return res, err
@@ -214,33 +221,33 @@
 	}
 	others := q.Scope == messenger.RightsScope_RIGHTS_SCOPE_FLEET
 	if p, _, _ := r.purse(q.Workspace); !others && !p.Holds(q.Tokens) {
-		// The router that asks has heard from keepers, or can't.
+		// The asking router has already tried the keepers, or can't reach them.
 		return nil, forwarder.OutOfReach{}
 	}
-	return r.reserveHere(ctx, q.Workspace, q.Tokens, others)
+	return r.reserveLocally(ctx, q.Workspace, q.Tokens, others)
 }
 
-// returnLeftovers gives back to owners what this router borrowed and did not spend. A gift
-// whose answer is lost may have arrived, so it is not given twice.
-func (r *rights) returnLeftovers(ctx context.Context) {
-	gifts := map[*messenger.Link]*messenger.LeaveRightsRequest{}
+// returnUnspent returns to owners the rights that this router borrowed and did not spend.
+// If the response is lost, the rights may have arrived, so they are not returned again.
+func (r *rights) returnUnspent(ctx context.Context) {
+	requests := map[*messenger.Link]*messenger.LeaveRightsRequest{}
 	now := time.Now()
-	for _, w := range r.borrowedPurses() {
-		owners := r.owners.of(now, w)
+	for _, w := range r.borrowedWorkspaces() {
+		owners := r.owners.ahead(now, w)
 		if len(owners) == 0 {
 			continue
 		}
 		p, _, _ := r.purse(w)
 		if n := p.RestAbove(now, minReturn); n > 0 {
-			q := gifts[owners[0]]
+			q := requests[owners[0]]
 			if q == nil {
 				q = &messenger.LeaveRightsRequest{}
-				gifts[owners[0]] = q
+				requests[owners[0]] = q
 			}
 			q.Gifts = append(q.Gifts, &messenger.PrepaidTotal{Workspace: w, Tokens: n})
 		}
 	}
-	for l, q := range gifts {
+	for l, q := range requests {
 		go func() {
 			if err := l.LeaveRights(ctx, ownerTimeout, q); err != nil {
 				r.log.Warn("leftover rights not given back", zap.String("router", l.Address()), zap.Error(err))
@@ -249,8 +256,8 @@
 	}
 }
 
-// borrowedPurses returns the workspaces of which this router holds only what it borrowed.
-func (r *rights) borrowedPurses() []string {
+// borrowedWorkspaces returns the workspaces of which this router holds only borrowed rights.
+func (r *rights) borrowedWorkspaces() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
--- a/courier/owner_test.go
+++ b/courier/owner_test.go
@@ -12,18 +12,18 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// ownedWorkspace returns a name of a workspace that a peer owns, or that this router owns.
+// ownedWorkspace returns the name of a workspace that a peer owns, or that this router owns.
 func ownedWorkspace(r *rights, byPeer bool) string {
 	for i := range 100 {
 		w := string(rune('a'+i%26)) + string(rune('a'+i/26))
-		if (len(r.owners.of(time.Now(), w)) > 0) == byPeer {
+		if (len(r.owners.ahead(time.Now(), w)) > 0) == byPeer {
 			return w
 		}
 	}
 	return ""
 }
 
-// ownerStub lends what it has for single requests.
+// ownerStub lends the requested tokens to single requests, unless its total is spent.
 type ownerStub struct {
 	messenger.UnimplementedFleetRouterServer
 	lent, returned chan int64
@@ -45,7 +45,8 @@
 	return &messenger.LeaveRightsReply{}, nil
 }
 
-// pooledRights returns the rights of a router in a fleet of 1,000, and a peer of its zone.
+// pooledRights returns the rights of a router in a fleet of 1,000, an
+// owner in its zone and a keeper.
 func pooledRights(t *testing.T) (*rights, *ownerStub, *keeperStub) {
 	k := &keeperStub{}
 	f := startFleet(t, serveStub(t, k))
@@ -58,8 +59,8 @@
 	messenger.RegisterFleetRouterServer(s, o)
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(s.Stop)
-	f.meet([]*messenger.FleetMember{{Address: l.Addr().String(), Zone: "z"}, f.self})
-	f.known.Store(1000)
+	f.updatePeers([]*messenger.FleetMember{{Address: l.Addr().String(), Zone: "z"}, f.self})
+	f.routerCount.Store(1000)
 	r := newRights(f, "127.0.0.1:1", zap.NewNop())
 	r.totals = map[string]int64{}
 	for _, byPeer := range []bool{true, false} {
@@ -71,25 +72,25 @@
 	return r, o, k
 }
 
-// Pattern: 1,000 routers, and a workspace whose even share covers no request. Guards against
-// rights that every router claims ahead, and against leftovers that stay with those who
-// borrowed.
+// In a fleet of 1,000 routers, the even share of a workspace covers no request. Guards
+// against rights that every router claims ahead of demand, and against unspent rights that
+// stay with the routers that borrowed them.
 func TestPooledRightsComeFromTheirOwner(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, o, k := pooledRights(t)
-	g.Eventually(k.claims.Load, 3*time.Second).Should(gomega.Equal(int64(1)), "it says that it has started")
+	g.Eventually(k.claims.Load, 3*time.Second).Should(gomega.Equal(int64(1)), "the claim that reports the start")
 	w := ownedWorkspace(r, true)
 	got, err := r.Reserve(context.Background(), w, 3_000)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(o.lent).To(gomega.Receive(gomega.Equal(int64(3_000))))
 	got.Settle(1_000)
 	g.Eventually(o.returned, 3*time.Second).Should(gomega.Receive(gomega.Equal(int64(2_000))))
-	g.Consistently(k.claims.Load, 3*time.Second).Should(gomega.Equal(int64(1)), "what was borrowed is no matter of the keepers")
+	g.Consistently(k.claims.Load, 3*time.Second).Should(gomega.Equal(int64(1)), "borrowed rights are not settled with keepers")
 }
 
-// Guards against a refusal for lack of rights that exist, when the owner of a workspace has
-// ended.
-func TestSilentOwnerIsPassedOver(t *testing.T) {
+// Guards against a refusal for lack of rights, although there are some, when the owner of a
+// workspace has ended.
+func TestSilentOwnerIsSkipped(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, _, k := pooledRights(t)
 	w := ownedWorkspace(r, true)
@@ -97,23 +98,23 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	address := l.Addr().String()
 	_ = l.Close()
-	r.fleet.meet([]*messenger.FleetMember{{Address: address, Zone: "z"}, r.fleet.self})
-	r.fleet.known.Store(1000)
-	for len(r.owners.of(time.Now(), w)) == 0 {
+	r.fleet.updatePeers([]*messenger.FleetMember{{Address: address, Zone: "z"}, r.fleet.self})
+	r.fleet.routerCount.Store(1000)
+	for len(r.owners.ahead(time.Now(), w)) == 0 {
 		w += "x"
 	}
 	r.mu.Lock()
 	r.totals[w] = 300_000
 	r.mu.Unlock()
-	g.Eventually(r.fleet.current.Load, 2*time.Second, 5*time.Millisecond).ShouldNot(gomega.BeNil())
+	g.Eventually(r.fleet.currentKeeper.Load, 2*time.Second, 5*time.Millisecond).ShouldNot(gomega.BeNil())
 	_, err = r.Reserve(context.Background(), w, 500)
 	g.Expect(err).NotTo(gomega.HaveOccurred(), "the keepers grant 1,000")
 	g.Expect(k.claims.Load()).To(gomega.BeNumerically(">", 0))
-	g.Expect(r.owners.of(time.Now(), w)).To(gomega.BeEmpty(), "passed over for a while")
+	g.Expect(r.owners.ahead(time.Now(), w)).To(gomega.BeEmpty(), "skipped for a while")
 }
 
-// Guards against a second search for rights whose owner says that the total is spent.
-func TestOwnerSaysThatATotalIsSpent(t *testing.T) {
+// Guards against a second search for rights after the owner has reported the total as spent.
+func TestOwnerReportsSpentTotal(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, o, _ := pooledRights(t)
 	o.spent = true
--- a/courier/sibling_test.go
+++ b/courier/peers_test.go
@@ -9,8 +9,8 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Pattern: 78 routers in three zones. A search for rights, and the news of a dispatch,
-// go to the 25 others of a zone before any of the 52 elsewhere.
+// 78 routers are in three zones. Guards against searches for rights and dispatch notices
+// that go to the 52 routers elsewhere before the 25 other routers of a zone.
 func TestRoutersOfTheZoneComeFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := startFleet(t)
@@ -21,21 +21,21 @@
 		zones[m.Address] = m.Zone
 		members = append(members, m)
 	}
-	f.meet(members)
+	f.updatePeers(members)
 	first := map[string]bool{}
 	for n := range 30 {
-		list := f.turn(n)
+		list := f.rotatedPeers(n)
 		g.Expect(list).To(gomega.HaveLen(77))
 		for i, l := range list {
 			g.Expect(zones[l.Address()] == "z").To(gomega.Equal(i < 25), "turn %d, place %d", n, i)
 		}
 		first[list[0].Address()] = true
 	}
-	g.Expect(first).To(gomega.HaveLen(25), "another one begins each time")
+	g.Expect(first).To(gomega.HaveLen(25), "each rotation starts with another router")
 	for zone, inside := range map[string]int{"z": 25, "b": 26, "c": 26} {
-		told := f.circle(zone)
-		g.Expect(len(told)).To(gomega.BeNumerically("<=", maxNotifiedPeers))
-		for i, a := range told {
+		targets := f.notifyTargets(zone)
+		g.Expect(len(targets)).To(gomega.BeNumerically("<=", maxNotifiedPeers))
+		for i, a := range targets {
 			g.Expect(zones[a.String()] == zone).To(gomega.Equal(i < inside), "dispatch to %s, place %d", zone, i)
 		}
 	}
--- a/courier/quarantine.go
+++ b/courier/quarantine.go
@@ -15,27 +15,29 @@
 )
 
 const (
-	// recentMost bounds the crashes that are kept for keepers; past it, the oldest are
-	// dropped. A router cut off for as long as cuts usually last sees fewer.
-	recentMost = 1024
-	// toldAtOnce bounds those of one question, some 60 bytes each.
-	toldAtOnce = 256
-	// tellAgainFor is how long crashes are kept that keepers have been told: those that
-	// start again know none.
-	tellAgainFor = time.Minute
-	// aloneFor is how long a router holds a request back by what it saw itself; what
-	// the keepers say holds for longer.
-	aloneFor = time.Minute
+	// maxRecentCrashes is the maximum number of crashes that are kept to be reported to
+	// keepers. Beyond it, the oldest are dropped. A router that is disconnected for as long
+	// as network partitions usually last sees fewer.
+	maxRecentCrashes = 1024
+	// maxReported is the maximum number of crashes in one sync request, at some 60 bytes each.
+	maxReported = 256
+	// crashRetention is how long crashes are kept after they have been reported. Keepers
+	// that restart have lost the earlier reports.
+	crashRetention = time.Minute
+	// localHoldDuration is how long a router holds a request back because of the crashes
+	// that it saw itself. The decisions of keepers hold for longer.
+	localHoldDuration = time.Minute
 )
 
-// heldBack is what a router refuses to send; immutable.
-type heldBack struct {
-	// Newest is the highest number that a keeper told.
+// heldRequests is an immutable snapshot of the requests that a router refuses to send.
+type heldRequests struct {
+	// newest is the highest number of a decision that a keeper has reported.
 	newest uint64
 	until  map[quarantiner.Fingerprint]time.Time
 }
 
-func (h *heldBack) anyEnded(now time.Time) bool {
+// anyExpired reports whether the time of any request has passed.
+func (h *heldRequests) anyExpired(now time.Time) bool {
 	for _, until := range h.until {
 		if !until.After(now) {
 			return true
@@ -44,36 +46,37 @@
 	return false
 }
 
-// quarantine is what a router knows of requests under which endpoints end: what keepers
-// hold back, and what it saw itself.
+// quarantine tracks the requests under which endpoints crash: those that keepers hold back,
+// and those that this router has observed itself.
 type quarantine struct {
 	*livenessChecks
 	log  *zap.Logger
-	held atomic.Pointer[heldBack]
+	held atomic.Pointer[heldRequests]
 
 	mu       sync.Mutex
 	answered quarantiner.Recent
-	// Own holds what this router saw, so that it protects endpoints without keepers.
-	own *quarantiner.Register
-	// Recent holds the latest crashes, oldest first; dropped counts those that are in
-	// it no more, and told those, from the first of all, that keepers have been told.
-	recent        []quarantiner.Crash
-	dropped, told int
-	// Cleared holds requests that were answered though endpoints ended under them,
-	// until a keeper has taken that in.
+	// local evaluates the crashes that this router saw, so that it protects endpoints while
+	// no keeper can be reached.
+	local *quarantiner.Register
+	// recent holds the latest crashes, oldest first. dropped counts the crashes that have been
+	// removed from it. reported counts those that keepers have received, dropped ones included.
+	recent            []quarantiner.Crash
+	dropped, reported int
+	// cleared holds requests that were answered although endpoints had ended under them,
+	// until a keeper has received that.
 	cleared []quarantiner.Fingerprint
-	// ToldAt is when keepers were last told.
-	toldAt time.Time
+	// reportedAt is when keepers last received a report.
+	reportedAt time.Time
 }
 
 func newQuarantine(log *zap.Logger) *quarantine {
-	q := &quarantine{log: log, own: quarantiner.NewRegister(aloneFor)}
-	q.held.Store(&heldBack{})
-	q.livenessChecks = newLivenessChecks(log, q.crashed)
+	q := &quarantine{log: log, local: quarantiner.NewRegister(localHoldDuration)}
+	q.held.Store(&heldRequests{})
+	q.livenessChecks = newLivenessChecks(log, q.recordCrashes)
 	return q
 }
 
-// Held returns for how much longer a request is held back, or 0.
+// Held returns the remaining time for which a request is held back, or 0.
 func (q *quarantine) Held(f quarantiner.Fingerprint) time.Duration {
 	until, ok := q.held.Load().until[f]
 	if !ok {
@@ -82,92 +85,94 @@
 	return max(time.Until(until), 0)
 }
 
-// Answered notes that an endpoint gave a request its whole answer.
+// Answered records that an endpoint answered a request completely.
 func (q *quarantine) Answered(f quarantiner.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.answered.Add(f)
-	if (q.own.Suspects(f) || q.Held(f) > 0) && !slices.Contains(q.cleared, f) && len(q.cleared) < toldAtOnce {
+	if (q.local.Suspects(f) || q.Held(f) > 0) && !slices.Contains(q.cleared, f) && len(q.cleared) < maxReported {
 		q.cleared = append(q.cleared, f)
-		q.own.Clear(f)
+		q.local.Clear(f)
 	}
 }
 
-// BrokenOff notes that the connection on which a request was under way ended before
-// its answer.
+// BrokenOff records that the connection of a request in progress ended before its response did.
 func (q *quarantine) BrokenOff(e *predictor.Endpoint, f quarantiner.Fingerprint, underway time.Duration) {
-	q.livenessChecks.brokenOff(e.Beat(), quarantiner.Crash{
+	q.livenessChecks.connectionBroken(e.Beat(), quarantiner.Crash{
 		Request: f, Endpoint: e.Beat().Incarnation, At: time.Now(), Underway: underway,
 	})
 }
 
-// crashed takes in what was under way at an endpoint that ended.
-func (q *quarantine) crashed(list []quarantiner.Crash) {
+// recordCrashes records the requests that were in progress at an endpoint that ended.
+// Requests that an endpoint has answered are left out.
+func (q *quarantine) recordCrashes(list []quarantiner.Crash) {
 	now := time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, c := range list {
-		if !q.answered.Has(c.Request) && q.own.Hear(now, c) {
+		if !q.answered.Has(c.Request) && q.local.Hear(now, c) {
 			q.recent = append(q.recent, c)
 		}
 	}
-	for len(q.recent) > 0 && (len(q.recent) > recentMost || now.Sub(q.recent[0].At) > tellAgainFor && q.dropped < q.told) {
-		if q.dropped >= q.told {
+	for len(q.recent) > 0 && (len(q.recent) > maxRecentCrashes || now.Sub(q.recent[0].At) > crashRetention && q.dropped < q.reported) {
+		if q.dropped >= q.reported {
 			q.log.Warn("end of an endpoint not told to keepers", zap.Stringer("endpoint", q.recent[0].Endpoint))
 		}
 		q.recent = q.recent[1:]
 		q.dropped++
 	}
-	q.told = max(q.told, q.dropped)
+	q.reported = max(q.reported, q.dropped)
 }
 
-// step holds back what this router's own crashes call for. In touch, keepers decide:
-// they know what else was under way at the endpoints that ended.
-func (q *quarantine) step(now time.Time) {
+// holdLocal holds back the requests that this router's own crashes implicate. It is only
+// used while keepers can't be reached: otherwise they decide, since they know which other
+// requests were in progress at the endpoints that ended.
+func (q *quarantine) holdLocal(now time.Time) {
 	q.mu.Lock()
-	due := q.own.Due(now)
+	due := q.local.Due(now)
 	q.mu.Unlock()
-	q.hold(now, 0, due, func(int) time.Duration { return aloneFor })
+	q.hold(now, 0, due, func(int) time.Duration { return localHoldDuration })
 }
 
-// telling is what one question tells a keeper: crashes up to one, counted from the first
-// of all, and so many answered requests.
-type telling struct{ crashes, cleared int }
+// crashReport is the content of one sync request: the number of crashes up to the last one
+// reported, dropped ones included, and the number of answered requests.
+type crashReport struct{ crashes, cleared int }
 
-// ask fills in what a keeper is told and asked.
-func (q *quarantine) ask(r *messenger.SyncRequest) telling {
+// fillRequest adds the crashes, the answered requests and the newest known
+// decision to a sync request.
+func (q *quarantine) fillRequest(r *messenger.SyncRequest) crashReport {
 	r.Quarantine = q.held.Load().newest
 	now := time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, c := range q.recent[q.told-q.dropped:] {
-		if len(r.Crashes) < toldAtOnce {
+	for _, c := range q.recent[q.reported-q.dropped:] {
+		if len(r.Crashes) < maxReported {
 			r.Crashes = append(r.Crashes, c.Message(now))
 		}
 	}
 	for _, f := range q.cleared {
 		r.Answered = append(r.Answered, f.Content())
 	}
-	return telling{crashes: q.told + len(r.Crashes), cleared: len(r.Answered)}
+	return crashReport{crashes: q.reported + len(r.Crashes), cleared: len(r.Answered)}
 }
 
-// tellEnded notes that a keeper which a majority follows, and which started at a time,
-// has taken in what ask filled in. One that started after keepers were last told may
-// be one of several that did, and none may know what was told before.
-func (q *quarantine) tellEnded(now, started time.Time, t telling) {
+// reportAccepted records that a keeper with a majority, which started at the given time, has
+// received a report. If it started after the last report, other keepers may have restarted as
+// well and none may know the earlier reports, so all crashes are reported again.
+func (q *quarantine) reportAccepted(now, started time.Time, t crashReport) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if started.After(q.toldAt) {
-		q.told = q.dropped
+	if started.After(q.reportedAt) {
+		q.reported = q.dropped
 	} else {
-		q.told = min(max(q.told, t.crashes), q.dropped+len(q.recent))
+		q.reported = min(max(q.reported, t.crashes), q.dropped+len(q.recent))
 	}
 	q.cleared = q.cleared[min(t.cleared, len(q.cleared)):]
-	q.toldAt = now
+	q.reportedAt = now
 }
 
-// learn takes in what a keeper holds back.
-func (q *quarantine) learn(now time.Time, list []*messenger.QuarantineTold) {
+// update applies the decisions that a keeper reported.
+func (q *quarantine) update(now time.Time, list []*messenger.QuarantineTold) {
 	var requests []quarantiner.Fingerprint
 	var newest uint64
 	for _, x := range list {
@@ -177,22 +182,22 @@
 	q.hold(now, newest, requests, func(i int) time.Duration { return time.Duration(list[i].LeftMs) * time.Millisecond })
 }
 
-// hold holds requests back, each for at least a time, and lets those go whose time is 0.
-// Called by the goroutine that asks keepers alone.
-func (q *quarantine) hold(now time.Time, newest uint64, requests []quarantiner.Fingerprint, lasts func(int) time.Duration) {
+// hold holds requests back, each for at least its duration, and releases those whose
+// duration is 0. It must only be called from the goroutine that syncs with keepers.
+func (q *quarantine) hold(now time.Time, newest uint64, requests []quarantiner.Fingerprint, durationOf func(int) time.Duration) {
 	old := q.held.Load()
-	if len(requests) == 0 && !old.anyEnded(now) {
+	if len(requests) == 0 && !old.anyExpired(now) {
 		return
 	}
-	next := &heldBack{newest: max(old.newest, newest), until: maps.Clone(old.until)}
+	next := &heldRequests{newest: max(old.newest, newest), until: maps.Clone(old.until)}
 	if next.until == nil {
 		next.until = map[quarantiner.Fingerprint]time.Time{}
 	}
 	maps.DeleteFunc(next.until, func(_ quarantiner.Fingerprint, until time.Time) bool { return !until.After(now) })
 	for i, f := range requests {
-		until, known := now.Add(lasts(i)), next.until[f]
+		until, known := now.Add(durationOf(i)), next.until[f]
 		switch {
-		case lasts(i) <= 0:
+		case durationOf(i) <= 0:
 			delete(next.until, f)
 			if known.IsZero() {
 				continue
@@ -202,16 +207,18 @@
 		default:
 			next.until[f] = until
 		}
-		q.log.Info(message(lasts(i)), zap.Stringer("content", f), zap.String("workspace", f.Workspace), zap.Duration("for", lasts(i)), zap.Bool("told", newest > 0))
+		q.log.Info(holdMessage(durationOf(i)), zap.Stringer("content", f), zap.String("workspace", f.Workspace), zap.Duration("for", durationOf(i)), zap.Bool("told", newest > 0))
 	}
 	q.held.Store(next)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.own.Hold(slices.Collect(maps.Keys(next.until)))
+	q.local.Hold(slices.Collect(maps.Keys(next.until)))
 }
 
-func message(lasts time.Duration) string {
-	if lasts <= 0 {
+// holdMessage returns the log message for a request that is held back, or released if the
+// duration is 0.
+func holdMessage(duration time.Duration) string {
+	if duration <= 0 {
 		return "request let go"
 	}
 	return "request held back"
--- /dev/null
+++ b/courier/quarantine_internal_test.go
@@ -0,0 +1,155 @@
+package courier
+
+import (
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/onsi/gomega"
+	"go.uber.org/zap"
+
+	"rattanhoist.example/rattanhoist/enroller"
+	"rattanhoist.example/rattanhoist/messenger"
+	"rattanhoist.example/rattanhoist/predictor"
+	"rattanhoist.example/rattanhoist/quarantiner"
+)
+
+func content(n uint64) quarantiner.Fingerprint {
+	return quarantiner.Fingerprint{Workspace: "w", Sum: n}
+}
+
+func crash(request uint64, endpoint int) quarantiner.Crash {
+	return quarantiner.Crash{Request: content(request), Endpoint: enroller.Incarnation{ID: fmt.Sprint("e", endpoint)}, At: time.Now().Add(time.Duration(endpoint) * time.Second)}
+}
+
+// pendingReport returns the requests in the next sync request's crashes, and its report.
+func pendingReport(q *quarantine) (out []uint64, t crashReport) {
+	r := &messenger.SyncRequest{}
+	t = q.fillRequest(r)
+	for _, c := range r.Crashes {
+		out = append(out, c.Request.Sum)
+	}
+	return out, t
+}
+
+// Guards against treating a harmless request as one that crashes endpoints. The endpoints
+// reset connections under it and keep running, so a broken connection is no crash.
+func TestBrokenConnectionIsNoCrash(t *testing.T) {
+	g := gomega.NewWithT(t)
+	alive, err := net.Listen("tcp", "127.0.0.1:0")
+	g.Expect(err).NotTo(gomega.HaveOccurred())
+	defer alive.Close()
+	stopped, err := net.Listen("tcp", "127.0.0.1:0")
+	g.Expect(err).NotTo(gomega.HaveOccurred())
+	g.Expect(stopped.Close()).To(gomega.Succeed())
+	q := newQuarantine(zap.NewNop())
+	for n, l := range []net.Listener{alive, stopped} {
+		e := predictor.NewEndpoint(enroller.Beat{Incarnation: enroller.Incarnation{ID: fmt.Sprint("e", n)}, Address: l.Addr().String()})
+		q.BrokenOff(e, content(uint64(10+n)), time.Second)
+		q.BrokenOff(e, content(uint64(20+n)), time.Second)
+	}
+	g.Eventually(func() []uint64 { out, _ := pendingReport(q); return out }, 2*time.Second).Should(gomega.ConsistOf(uint64(11), uint64(21)))
+	g.Consistently(func() []uint64 { out, _ := pendingReport(q); return out }, 200*time.Millisecond).Should(gomega.HaveLen(2))
+}
+
+// Guards against refusing a popular page for an hour because all copies of a service went
+// down at once while it was requested. Crashes don't count for a request that endpoints
+// have answered.
+func TestAnsweredRequestIsNoSuspect(t *testing.T) {
+	g := gomega.NewWithT(t)
+	q := newQuarantine(zap.NewNop())
+	q.Answered(content(1))
+	for e := range 5 {
+		q.recordCrashes([]quarantiner.Crash{crash(1, e), crash(uint64(100+e), e)})
+	}
+	list, _ := pendingReport(q)
+	g.Expect(list).To(gomega.Equal([]uint64{100, 101, 102, 103, 104}))
+	q.holdLocal(time.Now().Add(time.Second))
+	g.Expect(q.Held(content(1))).To(gomega.BeZero())
+}
+
+// Guards against crash reports that are lost when all keepers restart, since they hold them
+// in memory. A request that had crashed two endpoints then crashed three more before it was
+// held back, because routers did not report the earlier crashes again.
+func TestRestartedKeepersGetCrashReportsAgain(t *testing.T) {
+	g := gomega.NewWithT(t)
+	now := time.Now()
+	q := newQuarantine(zap.NewNop())
+	q.reportAccepted(now, now.Add(-time.Minute), crashReport{})
+	q.recordCrashes([]quarantiner.Crash{crash(1, 1), crash(2, 1)})
+	list, upTo := pendingReport(q)
+	g.Expect(list).To(gomega.HaveLen(2))
+	again, _ := pendingReport(q)
+	g.Expect(again).To(gomega.HaveLen(2), "no keeper has confirmed the report")
+	q.reportAccepted(now.Add(time.Second), now.Add(-time.Minute), upTo)
+	list, upTo = pendingReport(q)
+	g.Expect(list).To(gomega.BeEmpty())
+	q.reportAccepted(now.Add(3*time.Second), now.Add(2*time.Second), upTo)
+	list, _ = pendingReport(q)
+	g.Expect(list).To(gomega.HaveLen(2), "this keeper has started since")
+}
+
+// Guards against a disconnected router that sends a request which crashes endpoints to one
+// endpoint after the other, because only keepers decide which requests are held back.
+func TestDisconnectedRouterHoldsBackCrashingRequest(t *testing.T) {
+	g := gomega.NewWithT(t)
+	q := newQuarantine(zap.NewNop())
+	for e := range 3 {
+		q.recordCrashes([]quarantiner.Crash{crash(1, e), crash(uint64(100+e), e)})
+	}
+	q.holdLocal(time.Now())
+	g.Expect(q.Held(content(1))).To(gomega.BeZero(), "other requests may still fail there")
+	q.holdLocal(time.Now().Add(time.Second))
+	g.Expect(q.Held(content(1))).To(gomega.BeNumerically(">", 30*time.Second))
+	g.Expect(q.Held(content(100))).To(gomega.BeZero())
+	q.update(time.Now(), []*messenger.QuarantineTold{{Request: content(1).Content(), Number: 4, LeftMs: 3_600_000}})
+	g.Expect(q.Held(content(1))).To(gomega.BeNumerically(">", 30*time.Minute))
+	r := &messenger.SyncRequest{}
+	q.fillRequest(r)
+	g.Expect(r.Quarantine).To(gomega.Equal(uint64(4)))
+	q.holdLocal(time.Now().Add(2 * time.Hour))
+	g.Expect(q.held.Load().until).To(gomega.BeEmpty(), "expired entries are removed")
+}
+
+// Guards against refusing a harmless request for an hour. It is held back by coincidence
+// while a copy of it is in progress, which an endpoint then answers completely; keepers
+// have to be told.
+func TestAnsweredRequestIsReportedAndReleased(t *testing.T) {
+	g := gomega.NewWithT(t)
+	now := time.Now()
+	q := newQuarantine(zap.NewNop())
+	q.update(now, []*messenger.QuarantineTold{{Request: content(1).Content(), Number: 1, LeftMs: 3_600_000}})
+	q.Answered(content(2))
+	q.Answered(content(1))
+	q.Answered(content(1))
+	r := &messenger.SyncRequest{}
+	report := q.fillRequest(r)
+	g.Expect(r.Answered).To(gomega.HaveLen(1))
+	g.Expect(r.Answered[0].Sum).To(gomega.Equal(uint64(1)))
+	g.Expect(q.Held(content(1))).NotTo(gomega.BeZero(), "keepers decide")
+	q.reportAccepted(now, now.Add(-time.Hour), report)
+	r = &messenger.SyncRequest{}
+	q.fillRequest(r)
+	g.Expect(r.Answered).To(gomega.BeEmpty())
+	q.update(now, []*messenger.QuarantineTold{{Request: content(1).Content(), Number: 2}, {Request: content(3).Content(), Number: 3}})
+	g.Expect(q.Held(content(1))).To(gomega.BeZero())
+	g.Expect(q.held.Load().newest).To(gomega.Equal(uint64(3)))
+}
+
+// Guards against unbounded memory use by crashes while no keeper can be reached.
+func TestUnreportedCrashesAreBounded(t *testing.T) {
+	g := gomega.NewWithT(t)
+	q := newQuarantine(zap.NewNop())
+	for n := range 3_000 {
+		q.recordCrashes([]quarantiner.Crash{crash(uint64(n), n)})
+	}
+	g.Expect(q.recent).To(gomega.HaveLen(maxRecentCrashes))
+	list, upTo := pendingReport(q)
+	g.Expect(list).To(gomega.HaveLen(maxReported))
+	g.Expect(list[0]).To(gomega.Equal(uint64(3_000 - maxRecentCrashes)))
+	q.reportAccepted(time.Now(), time.Now().Add(-time.Hour), upTo)
+	q.reportAccepted(time.Now(), time.Now().Add(-time.Hour), upTo)
+	list, _ = pendingReport(q)
+	g.Expect(list[0]).To(gomega.Equal(uint64(3_000 - maxRecentCrashes + maxReported)))
+}
--- a/courier/rate_limit.go
+++ b/courier/rate_limit.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// minLimitedRate is the minimum rate, in requests per second, for the owners of a rate
-	// limited endpoint combined. Without requests, no response could report that the limit
-	// was removed.
+	// minLimitedRate is the minimum rate, in requests per second, for the owners of
+	// a rate limited endpoint combined. Without requests, no response could report
+	// that the limit was removed.
 	minLimitedRate = 0.2
 	// rateLimitPollInterval is the mean interval at which a router that does not own a rate
 	// limited endpoint queries one of its owners for the limit. It grows with the number of
-	// routers above evenRouters, by a factor of up to maxRateLimitPollFactor.
+	// routers above maxUnpacedRouters, by a factor of up to maxRateLimitPollFactor.
 	rateLimitPollInterval  = time.Second
 	maxRateLimitPollFactor = 16
 	rateLimitPollTimeout   = time.Second
@@ -31,7 +31,7 @@
 
 type rateLimitPoll struct {
 	next time.Time
-	// Count selects the owner to poll, in rotation.
+	// count selects the owner to poll, in rotation.
 	count int
 }
 
@@ -54,7 +54,7 @@
 
 // pollRateLimits queries the owners of rate limited endpoints for the current limits, if
 // this router sends no requests there whose responses would report them.
-func (f *fleet) pollRateLimits(ctx context.Context) {
+func (f *fleetView) pollRateLimits(ctx context.Context) {
 	if !f.rateLimited.Load() {
 		return
 	}
@@ -84,7 +84,7 @@
 
 // ownerToPoll returns the address of the owner to query about an endpoint, in rotation, or
 // "" if no query is due.
-func (f *fleet) ownerToPoll(now time.Time, e *predictor.Endpoint, l warmer.RateLimit) string {
+func (f *fleetView) ownerToPoll(now time.Time, e *predictor.Endpoint, l warmer.RateLimit) string {
 	owners, _ := f.warmup.splitRateLimit(l)
 	if f.warmup.members.Owns(e.Name(), e.Beat().Zone, owners) {
 		return ""
@@ -105,8 +105,8 @@
 }
 
 // routerLink returns the link to another router, or nil if it is unknown.
-func (f *fleet) routerLink(address string) *messenger.Link {
-	for _, l := range f.others() {
+func (f *fleetView) routerLink(address string) *messenger.Link {
+	for _, l := range f.allPeers() {
 		if l.Address() == address {
 			return l
 		}
@@ -114,11 +114,12 @@
 	return nil
 }
 
-func (f *fleet) pollOwner(ctx context.Context, l *messenger.Link, names []string) {
+// pollOwner queries an owner for the rate limits of endpoints and applies its reply.
+func (f *fleetView) pollOwner(ctx context.Context, l *messenger.Link, names []string) {
 	sentAt := time.Now()
 	r, err := l.RateLimits(ctx, rateLimitPollTimeout, &messenger.RateLimitsRequest{Endpoints: names})
 	if err != nil {
-		f.o.Log.Info("rate limit query failed", zap.String("router", l.Address()), zap.Error(err))
+		f.options.Log.Info("rate limit query failed", zap.String("router", l.Address()), zap.Error(err))
 		return
 	}
 	now := time.Now()
@@ -137,9 +138,10 @@
 	}
 }
 
-func (f *fleet) rateLimitChanged(e *predictor.Endpoint, l warmer.RateLimit) {
+// rateLimitChanged logs a new rate limit, and enables the polling of owners.
+func (f *fleetView) rateLimitChanged(e *predictor.Endpoint, l warmer.RateLimit) {
 	f.rateLimited.Store(true)
-	f.o.Log.Info("endpoint rate limit changed", zap.String("endpoint", e.Name()), zap.String("service", e.Beat().Service),
+	f.options.Log.Info("endpoint rate limit changed", zap.String("endpoint", e.Name()), zap.String("service", e.Beat().Service),
 		zap.Bool("limited", l.Limited), zap.Float64("per_second", l.PerSecond))
 }
 
--- a/courier/rights.go
+++ b/courier/rights.go
@@ -16,99 +16,101 @@
 )
 
 const (
-	// claimEvery is how often rights are settled with the keepers.
-	claimEvery = 250 * time.Millisecond
-	// claimTimeout is for syncs on slow disks, an entry that waits for the one before, and
-	// a way through another keeper.
+	// claimInterval is the interval at which rights are settled with the keepers.
+	claimInterval = 250 * time.Millisecond
+	// claimTimeout allows for syncs on slow disks, a log entry that waits for the one
+	// before it, and forwarding by another keeper.
 	claimTimeout = 600 * time.Millisecond
-	// patientClaim is the timeout after a claim that got no answer: over a link
-	// that callers fill, answers come late, and a short timeout fails for as
-	// long as they press.
-	patientClaim = 1500 * time.Millisecond
-	// claimPacedMost bounds how far claims slow down with the number of
-	// routers: what a bound leaves open grows with the pause.
-	claimPacedMost = 8
-	// claimPause is the least time between two claims made for waiting
-	// requests: requests that come meanwhile share the next one.
-	claimPause = 10 * time.Millisecond
-	// reserveWait bounds the wait of one request for rights: a few claims.
-	reserveWait = 500 * time.Millisecond
-	// touchLook is how often a waiting request looks whether keepers still
-	// answer: with the time that is left it can still be served by what others
-	// lend.
-	touchLook = 100 * time.Millisecond
-	// renewEvery is how often a router without demand settles, so that no bound
-	// rises while keepers answer: within allotter.BoundRest, with time for one
-	// that gets no answer.
-	renewEvery = time.Second
-	// floorPart of the even share of a total is held ahead of any demand.
-	floorPart = 8
-	// closeWait bounds the last claim of a process that stops.
-	closeWait = 200 * time.Millisecond
+	// slowClaimTimeout is the timeout after a claim without a response. Over a link that callers
+	// fill, responses are slow, and a short timeout would fail for as long as the load lasts.
+	slowClaimTimeout = 1500 * time.Millisecond
+	// maxClaimPaceFactor limits how far claims slow down with the number of routers. The
+	// amount that routers may spend beyond a total grows with the interval.
+	maxClaimPaceFactor = 8
+	// minClaimPause is the minimum pause between two claims made for waiting requests.
+	// Requests that arrive in the meantime share the next claim.
+	minClaimPause = 10 * time.Millisecond
+	// reserveTimeout bounds how long one request waits for rights: a few claims.
+	reserveTimeout = 500 * time.Millisecond
+	// contactCheckInterval is how often a waiting request checks whether keepers can still
+	// be reached. If not, there is time left to borrow from other routers.
+	contactCheckInterval = 100 * time.Millisecond
+	// renewInterval is the interval at which a router without demand settles, so that its
+	// bound doesn't rise while keepers answer. It is shorter than the time for which a bound
+	// stays constant, so that one claim may get no response.
+	renewInterval = time.Second
+	// floorDivisor is the divisor of the even share of a total that yields the amount held
+	// ahead of demand.
+	floorDivisor = 8
+	// closeTimeout bounds the last claim of a process that stops.
+	closeTimeout = 200 * time.Millisecond
 )
 
-// rights holds this router's purses and settles them with the keepers.
+// rights manages this router's prepaid rights: a purse for each workspace, from which
+// requests reserve tokens, and which is settled with the keepers. It implements FleetRouter
+// for other routers.
 type rights struct {
 	messenger.UnimplementedFleetRouterServer
-	fleet   *fleet
+	fleet   *fleetView
 	address string
 	log     *zap.Logger
 	urgent  chan struct{}
-	// Borrower gets rights from other routers.
+	// borrower obtains rights from other routers.
 	borrower *borrower
 	owners   *owners
 
 	mu          sync.Mutex
 	purses      map[string]*allotter.Purse
 	incarnation uint64
-	// Sequence counts claims; answered is the last one that was.
-	sequence, answered uint64
-	started            start
-	// Totals are the prepaid totals of the document in force.
+	// sequence counts claims, and answeredSequence is that of the last claim with a response.
+	sequence, answeredSequence uint64
+	started                    accountStart
+	// totals are the prepaid totals of the document in force.
 	totals map[string]int64
-	// Settled is closed and replaced after every answered claim.
-	settled chan struct{}
-	rounds  uint64
-
-	// Failing says that the last claim got no answer, stated when the last one
-	// that got one was sent. Both belong to claim, of which one runs at a time.
-	failing bool
-	stated  time.Time
+	// settled is closed and replaced after every claim that got a response.
+	settled        chan struct{}
+	answeredClaims uint64
+
+	// failing is set if the last claim got no response, and answeredSentAt is when the last
+	// claim that got one was sent. Both belong to claim, which doesn't run concurrently.
+	failing        bool
+	answeredSentAt time.Time
 }
 
-func newRights(f *fleet, address string, log *zap.Logger) *rights {
+func newRights(f *fleetView, address string, log *zap.Logger) *rights {
 	r := &rights{
 		fleet: f, address: address, log: log, urgent: make(chan struct{}, 1), purses: map[string]*allotter.Purse{},
-		incarnation: newIncarnation(), settled: make(chan struct{}), started: newStart(),
+		incarnation: newIncarnation(), settled: make(chan struct{}), started: newAccountStart(),
 	}
 	r.borrower = newBorrower(r, log)
 	r.owners = newOwners(f)
 	return r
 }
 
-// reservation is tokens set aside in one purse.
+// reservation is an amount of tokens that one purse has reserved for a request.
 type reservation struct {
 	purse  *allotter.Purse
 	tokens int64
 }
 
-// Settle gives back what was not spent.
+// Settle returns the tokens that were not spent.
 func (r *reservation) Settle(spent int64) { r.purse.Settle(r.tokens, spent) }
 
-// Reserve sets tokens aside, asking other routers or the keepers where this router holds too
-// few.
+// Reserve reserves tokens for a request. If this router holds too few, it asks other
+// routers or the keepers.
 func (r *rights) Reserve(ctx context.Context, workspace string, tokens int64) (forwarder.Reservation, error) {
-	ctx, cancel := context.WithTimeout(ctx, reserveWait)
+	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	if r.pooled(workspace) {
 		if res, done, err := r.reserveInZone(ctx, workspace, tokens, messenger.RightsScope_RIGHTS_SCOPE_FLEET); done {
 			return asReservation(res, err)
 		}
 	}
-	return asReservation(r.reserveHere(ctx, workspace, tokens, true))
+	return asReservation(r.reserveLocally(ctx, workspace, tokens, true))
 }
 
-// asReservation keeps a nil reservation from becoming an interface that is not nil.
+// asReservation returns a nil interface on error: a nil *reservation in an interface would
+// compare unequal to nil.
 func asReservation(res *reservation, err error) (forwarder.Reservation, error) {
 	if err != nil {
 		return nil, err
@@ -116,10 +118,10 @@
 	return res, nil
 }
 
-// reserveHere sets tokens aside that this router holds, asking the keepers where they are
-// too few, and other routers too where that is allowed.
-func (r *rights) reserveHere(ctx context.Context, workspace string, tokens int64, others bool) (*reservation, error) {
-	p, settled, first := r.purse(workspace)
+// reserveLocally reserves tokens from this router's own purse. If it holds too few, the
+// keepers are asked, and, if others is set, other routers too.
+func (r *rights) reserveLocally(ctx context.Context, workspace string, tokens int64, others bool) (*reservation, error) {
+	p, settled, firstCount := r.purse(workspace)
 	if p.IsDry(time.Now(), tokens) {
 		rightsSpent.Inc()
 		return nil, forwarder.ErrSpent
@@ -128,12 +130,12 @@
 		if !asked && p.Reserve(time.Now(), tokens) || asked && p.Retry(time.Now(), tokens) {
 			return &reservation{purse: p, tokens: tokens}, nil
 		}
-		if r.fleet.outOfTouch() {
+		if r.fleet.disconnected() {
 			if others && r.borrow(ctx, p, workspace, tokens) {
 				return &reservation{purse: p, tokens: tokens}, nil
 			}
-			rightsRefused.Inc()
-			return nil, forwarder.OutOfReach{After: r.expected(p, tokens)}
+			rightsOutOfReach.Inc()
+			return nil, forwarder.OutOfReach{After: r.retryAfter(p, tokens)}
 		}
 		select {
 		case r.urgent <- struct{}{}:
@@ -141,51 +143,52 @@
 		}
 		select {
 		case <-settled:
-		case <-time.After(touchLook):
-			// The keepers may have fallen silent since the last look.
+		case <-time.After(contactCheckInterval):
+			// The keepers may have become unreachable since the last check.
 			continue
 		case <-ctx.Done():
-			return nil, r.refused(p, tokens)
+			return nil, r.refusal(p, tokens)
 		}
-		var now uint64
-		p, settled, now = r.purse(workspace)
-		if now > first+1 && p.Exhausted(tokens) {
+		var count uint64
+		p, settled, count = r.purse(workspace)
+		if count > firstCount+1 && p.Exhausted(tokens) {
 			if others && r.borrow(ctx, p, workspace, tokens) {
 				return &reservation{purse: p, tokens: tokens}, nil
 			}
-			return nil, r.refused(p, tokens)
+			return nil, r.refusal(p, tokens)
 		}
 	}
 }
 
-// borrow sets tokens aside from what other routers lend.
+// borrow reserves tokens that other routers lend.
 func (r *rights) borrow(ctx context.Context, p *allotter.Purse, workspace string, tokens int64) bool {
 	if r.pooled(workspace) {
-		return r.borrowElsewhere(ctx, p, workspace, tokens)
+		return r.borrowFromOtherZones(ctx, p, workspace, tokens)
 	}
-	return r.borrower.fetch(ctx, func() bool { return p.Retry(time.Now(), tokens) })
+	return r.borrower.wait(ctx, func() bool { return p.Retry(time.Now(), tokens) })
 }
 
-// expected returns after what time a request should come back that found no
-// rights: once the bound has risen, or, where this router holds too few, after the
-// time for which no keeper has answered already; how long a cut will still last is
-// best told by how long it has lasted. A caller comes back once, so that sent back
-// after a quarter of a second, in a cut of eight, it was refused for good.
-func (r *rights) expected(p *allotter.Purse, tokens int64) time.Duration {
-	if !r.fleet.outOfTouch() {
+// retryAfter returns when a request without rights should be retried: once the bound has
+// risen, or, if this router holds too few tokens, after the time for which no keeper has
+// answeredSequence already. The past duration of a partition is the best estimate of the remaining
+// one. Callers retry once: when they were told to retry after 0.25 s in a partition of 8 s,
+// they failed for good.
+func (r *rights) retryAfter(p *allotter.Purse, tokens int64) time.Duration {
+	if !r.fleet.disconnected() {
 		return 0
 	}
 	if d, ok := p.Until(time.Now(), tokens); ok {
 		return d
 	}
-	return r.fleet.untouched()
+	return r.fleet.sinceContact()
 }
 
-// refused tells a total that is spent from one that is out of reach.
-func (r *rights) refused(p *allotter.Purse, tokens int64) error {
+// refusal returns the error for a request without rights: the total is spent, or the rights
+// are out of reach.
+func (r *rights) refusal(p *allotter.Purse, tokens int64) error {
 	if !p.Exhausted(tokens) {
-		rightsRefused.Inc()
-		return forwarder.OutOfReach{After: r.expected(p, tokens)}
+		rightsOutOfReach.Inc()
+		return forwarder.OutOfReach{After: r.retryAfter(p, tokens)}
 	}
 	rightsSpent.Inc()
 	p.Dry(time.Now(), tokens)
@@ -205,6 +208,8 @@
 	return out, nil
 }
 
+// purse returns the purse of a workspace, which is created if necessary. It also returns a
+// channel that is closed when the next claim is answered, and the number of answered claims.
 func (r *rights) purse(workspace string) (*allotter.Purse, chan struct{}, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -213,10 +218,10 @@
 		p = &allotter.Purse{}
 		r.purses[workspace] = p
 	}
-	return p, r.settled, r.rounds
+	return p, r.settled, r.answeredClaims
 }
 
-// run settles purses with the keepers until ctx ends.
+// run settles the purses with the keepers until ctx is done.
 func (r *rights) run(ctx context.Context) {
 	go r.borrower.run(ctx)
 	go r.runReturns(ctx)
@@ -225,16 +230,16 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(r.fleet.paced(claimEvery, claimPacedMost)):
+		case <-time.After(r.fleet.paced(claimInterval, maxClaimPaceFactor)):
 		case <-r.urgent:
-		case <-r.fleet.turned:
+		case <-r.fleet.keeperChanged:
 		}
-		timeout = r.claimAnew(ctx, timeout)
-		time.Sleep(r.fleet.paced(claimPause, claimPacedMost))
+		timeout = r.claimFromCurrent(ctx, timeout)
+		time.Sleep(r.fleet.paced(minClaimPause, maxClaimPaceFactor))
 	}
 }
 
-// runReturns gives back what is left of borrowed rights until ctx ends.
+// runReturns returns unspent borrowed rights until ctx is done.
 func (r *rights) runReturns(ctx context.Context) {
 	t := time.NewTicker(returnInterval)
 	defer t.Stop()
@@ -243,31 +248,31 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			r.returnLeftovers(ctx)
+			r.returnUnspent(ctx)
 		}
 	}
 }
 
-// close gives back what is left: to the keepers, or to another router where no
-// keeper answers. Else it would count as spent.
+// close returns all remaining rights to the keepers, or to another router if no keeper can
+// be reached. Otherwise they would count as spent.
 func (r *rights) close(ctx context.Context) {
-	if r.fleet.outOfTouch() {
-		r.give(ctx)
+	if r.fleet.disconnected() {
+		r.handOver(ctx)
 	}
-	l := r.fleet.current.Load()
+	l := r.fleet.currentKeeper.Load()
 	if l == nil {
 		return
 	}
-	change, _, _, _ := r.change(true)
-	if _, err := r.order(ctx, l, closeWait, change); err != nil {
-		r.log.Warn("no keeper took the last account", zap.Error(err))
+	change, _, _, _ := r.buildClaims(true)
+	if _, err := r.sendClaims(ctx, l, closeTimeout, change); err != nil {
+		r.log.Warn("last rights claim failed", zap.Error(err))
 	}
 }
 
-// give hands all headroom to another router. One whose answer is lost may have
-// it, so it is not offered twice.
-func (r *rights) give(ctx context.Context) {
-	others := r.fleet.others()
+// handOver gives all available rights to another router. If its response is lost, it may
+// have received them, so they are not offered to a second one.
+func (r *rights) handOver(ctx context.Context) {
+	others := r.fleet.allPeers()
 	if len(others) == 0 {
 		return
 	}
@@ -279,11 +284,12 @@
 		}
 	}
 	r.mu.Unlock()
-	err := others[0].LeaveRights(ctx, closeWait, q)
+	err := others[0].LeaveRights(ctx, closeTimeout, q)
 	r.log.Info("rights handed over", zap.String("to", others[0].Address()), zap.Error(err))
 }
 
-// LeaveRights serves another router that stops while no keeper answers it.
+// LeaveRights accepts rights from another router: one that stops while it can't reach a
+// keeper, or one that returns what it borrowed.
 func (r *rights) LeaveRights(_ context.Context, q *messenger.LeaveRightsRequest) (*messenger.LeaveRightsReply, error) {
 	for _, x := range q.Gifts {
 		p, _, _ := r.purse(x.Workspace)
@@ -292,45 +298,45 @@
 	return &messenger.LeaveRightsReply{}, nil
 }
 
-// claimAnew is claim, begun anew if another keeper becomes the current one meanwhile:
-// after a cut, what the keepers know of this router is as old as the cut, and would be
-// written off by that time if it died.
-func (r *rights) claimAnew(ctx context.Context, timeout time.Duration) time.Duration {
-	once, cancel := context.WithCancel(ctx)
+// claimFromCurrent sends a claim, and restarts it if another keeper becomes the current one
+// meanwhile. After a partition, the keepers' knowledge of this router is as old as the
+// partition, and if this router ended, they would write off rights on that basis.
+func (r *rights) claimFromCurrent(ctx context.Context, timeout time.Duration) time.Duration {
+	claimCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	next := make(chan time.Duration, 1)
-	go func() { next <- r.claim(once, timeout) }()
+	go func() { next <- r.claim(claimCtx, timeout) }()
 	select {
 	case t := <-next:
 		return t
-	case <-r.fleet.turned:
+	case <-r.fleet.keeperChanged:
 		cancel()
 		<-next
 		return r.claim(ctx, claimTimeout)
 	}
 }
 
-// claim settles with the keepers once and returns the next one's timeout.
+// claim settles with the keepers once and returns the timeout of the next claim.
 func (r *rights) claim(ctx context.Context, timeout time.Duration) time.Duration {
-	// A claim states when it was sent, and is worth less if it waits for a
-	// connection first.
-	l := r.fleet.current.Load()
+	// A claim contains its send time, and loses value while it waits for a connection.
+	// Therefore the connection is awaited first.
+	l := r.fleet.currentKeeper.Load()
 	if l == nil {
-		return patientClaim
+		return slowClaimTimeout
 	}
 	if err := l.Await(ctx, timeout); err != nil {
-		return r.unsettled(l, err)
+		return r.claimFailed(l, err)
 	}
-	if !r.due(time.Now()) {
+	if !r.claimDue(time.Now()) {
 		return timeout
 	}
-	change, purses, leftOut, sent := r.change(false)
-	reply, err := r.order(ctx, l, timeout, change)
+	change, purses, leftOut, sent := r.buildClaims(false)
+	reply, err := r.sendClaims(ctx, l, timeout, change)
 	if err != nil {
-		return r.unsettled(l, err)
+		return r.claimFailed(l, err)
 	}
 	claimsAnswered.Inc()
-	r.stated = sent
+	r.answeredSentAt = sent
 	r.failing = false
 	if reply.Grants.GetEnded() {
 		r.reset()
@@ -344,36 +350,36 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.answered = change.Sequence
+	r.answeredSequence = change.Sequence
 	close(r.settled)
 	r.settled = make(chan struct{})
-	r.rounds++
+	r.answeredClaims++
 	return claimTimeout
 }
 
-// unsettled notes a claim without an answer, and logs the first in a row.
-func (r *rights) unsettled(l *messenger.Link, err error) time.Duration {
+// claimFailed records a claim without a response, and logs the first of consecutive ones.
+func (r *rights) claimFailed(l *messenger.Link, err error) time.Duration {
 	claimsFailed.Inc()
 	if !r.failing {
 		r.failing = true
-		r.log.Warn("rights not settled, tried again", zap.String("keeper", l.Address()), zap.Error(err))
+		r.log.Warn("rights claim failed, will retry", zap.String("keeper", l.Address()), zap.Error(err))
 	}
-	return patientClaim
+	return slowClaimTimeout
 }
 
-// floor is what this router holds of a workspace ahead of any demand: a part
-// of the even share of the total, so that the first requests need not wait. Of pooled
-// workspaces it is nothing.
+// floor returns the tokens of a workspace that this router holds ahead of demand, so that
+// the first requests need not wait. It is a part of the even share of the total, and 0 for
+// pooled workspaces.
 func (r *rights) floor(workspace string) int64 {
-	n := r.share(workspace)
-	if n < minFloor || len(r.totals) > maxEagerFloors && time.Since(r.fleet.start) < floorDelay {
+	n := r.floorShare(workspace)
+	if n < minFloor || len(r.totals) > maxEagerFloors && time.Since(r.fleet.startedAt) < floorDelay {
 		return 0
 	}
 	return n
 }
 
-// prepare makes purses for the workspaces of a document.
-func (r *rights) prepare(d *publisher.Document) {
+// updateTotals applies the prepaid totals of a document, and adds purses for new workspaces.
+func (r *rights) updateTotals(d *publisher.Document) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.totals = map[string]int64{}
@@ -388,15 +394,15 @@
 	}
 }
 
-// due reports whether a claim is worth its way now.
-func (r *rights) due(now time.Time) bool {
+// claimDue reports whether there is something to claim or to settle now.
+func (r *rights) claimDue(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.answered == 0 {
+	if r.answeredSequence == 0 {
 		return true
 	}
-	pause := r.fleet.paced(claimEvery, claimPacedMost)
-	renew := now.Sub(r.stated) >= renewEvery
+	pause := r.fleet.paced(claimInterval, maxClaimPaceFactor)
+	renew := now.Sub(r.answeredSentAt) >= renewInterval
 	for w, p := range r.purses {
 		if renew && p.Known() || p.Due(now, r.floor(w), pause) {
 			return true
@@ -405,21 +411,21 @@
 	return false
 }
 
-// change returns the claims to send now, their purses, and the purses that they
-// leave out.
-func (r *rights) change(closing bool) (out *messenger.RightsChange, purses []*allotter.Purse, leftOut map[string]*allotter.Purse, sent time.Time) {
+// buildClaims returns the claims to send now, their purses, and the purses that are left
+// out because nothing changed.
+func (r *rights) buildClaims(closing bool) (out *messenger.RightsChange, purses []*allotter.Purse, leftOut map[string]*allotter.Purse, sent time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sent, leftOut = time.Now(), map[string]*allotter.Purse{}
 	r.sequence++
 	out = &messenger.RightsChange{
-		Router: r.address, Incarnation: r.incarnation, Closing: closing, Sequence: r.sequence, Answered: r.answered,
-		Sent: moment(sent), Started: r.started.at(sent), Binding: true,
+		Router: r.address, Incarnation: r.incarnation, Closing: closing, Sequence: r.sequence, Answered: r.answeredSequence,
+		Sent: rightsMoment(sent), Started: r.started.momentAt(sent), Binding: true,
 	}
-	pause := r.fleet.paced(claimEvery, claimPacedMost)
+	pause := r.fleet.paced(claimInterval, maxClaimPaceFactor)
 	for _, w := range slices.Sorted(maps.Keys(r.purses)) {
 		p := r.purses[w]
-		r.spread(w, p)
+		r.setHolders(w, p)
 		known := p.Known()
 		switch {
 		case closing:
@@ -441,17 +447,17 @@
 	return out, purses, leftOut, sent
 }
 
-// spread tells a purse among how many routers the rights of its workspace are.
-func (r *rights) spread(workspace string, p *allotter.Purse) {
-	if total, limited := r.totals[workspace]; limited && r.share(workspace) < minFloor {
+// setHolders tells a purse how many routers hold the rights of its workspace.
+func (r *rights) setHolders(workspace string, p *allotter.Purse) {
+	if total, limited := r.totals[workspace]; limited && r.floorShare(workspace) < minFloor {
 		p.Pool(r.fleet.zoneCount(), total)
 		return
 	}
 	p.Among(r.fleet.Routers())
 }
 
-// order sends the claims to a keeper, which passes them to the leader.
-func (r *rights) order(ctx context.Context, l *messenger.Link, timeout time.Duration, change *messenger.RightsChange) (*messenger.OrderReply, error) {
+// sendClaims sends the claims to a keeper, which forwards them to the leader.
+func (r *rights) sendClaims(ctx context.Context, l *messenger.Link, timeout time.Duration, change *messenger.RightsChange) (*messenger.OrderReply, error) {
 	var reply *messenger.OrderReply
 	err := l.Call(ctx, timeout, func(ctx context.Context, c messenger.FleetKeeperClient) error {
 		var err error
@@ -461,15 +467,15 @@
 	return reply, err
 }
 
-// reset begins a new account: the keepers count this one as ended, with all
+// reset opens a new account. The keepers have closed the previous one, and count all rights
 // that it held as spent.
 func (r *rights) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.log.Warn("rights of this router were ended; it begins a new account", zap.Uint64("incarnation", r.incarnation))
+	r.log.Warn("keepers closed the rights account, opening a new one", zap.Uint64("incarnation", r.incarnation))
 	for w := range r.purses {
 		r.purses[w] = &allotter.Purse{}
 	}
 	r.incarnation = newIncarnation()
-	r.sequence, r.answered, r.started = 0, 0, newStart()
+	r.sequence, r.answeredSequence, r.started = 0, 0, newAccountStart()
 }
--- a/courier/shedding.go
+++ b/courier/shedding.go
@@ -11,20 +11,20 @@
 	"rattanhoist.example/rattanhoist/shaper"
 )
 
-// zoneLoadTTL is how long what a keeper told of the load of a zone is valid: longer than most
-// cuts, and than an overloaded link keeps answers of keepers back.
+// zoneLoadTTL is how long a keeper's report about the load of the zone is valid. It is
+// longer than most partitions, and than an overloaded link delays the replies of keepers.
 const zoneLoadTTL = 15 * time.Second
 
 const (
-	// shedInterval is the pause between two looks at the load, idleShedInterval that of a router
-	// whose link is used less than idleUtilization.
+	// shedInterval is the interval between two checks of the load, and idleShedInterval
+	// that of a router whose link utilization is below idleUtilization.
 	shedInterval     = 100 * time.Millisecond
 	idleShedInterval = 500 * time.Millisecond
 	idleUtilization  = 0.3
 )
 
 // shedding moves callers to other routers of the zone while this router's link is much
-// busier than theirs. It is safe for concurrent use; nil sheds nothing.
+// busier than theirs. It is safe for concurrent use. A nil *shedding sheds nothing.
 type shedding struct {
 	admission *shaper.Admission
 	log       *zap.Logger
@@ -39,7 +39,7 @@
 	return &shedding{admission: a, log: log}
 }
 
-// observe takes in what a keeper tells of the zone, or nil if it told nothing.
+// observe records a keeper's report about the load of the zone. It does nothing if z is nil.
 func (s *shedding) observe(z *messenger.ZoneLoad) {
 	if s == nil || z == nil {
 		return
@@ -50,10 +50,10 @@
 	s.zoneAt = time.Now()
 }
 
-// run follows the load until ctx ends. KeepAlives is told whether connections of callers may
-// stay open after an answer.
+// run tracks the load until ctx is done. It calls keepAlives when connections of callers
+// may no longer stay open after a response, or may again.
 func (s *shedding) run(ctx context.Context, keepAlives func(bool)) {
-	kept, pause := true, shedInterval
+	keepingAlive, pause := true, shedInterval
 	for {
 		select {
 		case <-ctx.Done():
@@ -64,14 +64,14 @@
 		if s.admission.Utilization(time.Now()) > idleUtilization || s.active() {
 			pause = shedInterval
 		}
-		if keep := !s.step(time.Now()); keep != kept {
-			kept = keep
-			keepAlives(keep)
+		if keepAlive := !s.step(time.Now()); keepAlive != keepingAlive {
+			keepingAlive = keepAlive
+			keepAlives(keepAlive)
 		}
 	}
 }
 
-// step returns whether connections of callers should be closed.
+// step updates the state, and reports whether connections of callers should be closed.
 func (s *shedding) step(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +97,7 @@
 	return s.shedder.Shedding()
 }
 
-// load returns what to tell keepers of this router, or nil.
+// load returns the load of this router for keepers, or nil if it is unknown.
 func (s *shedding) load(now time.Time) *messenger.RouterLoad {
 	if s == nil {
 		return nil
--- a/courier/shedding_test.go
+++ b/courier/shedding_test.go
@@ -12,8 +12,8 @@
 	"rattanhoist.example/rattanhoist/shaper"
 )
 
-// Pattern: callers fill the link of one router, and its zone has room. Guards against a
-// router that stays ready, or that keeps its callers' connections.
+// Callers fill the link of one router, and others in its zone have capacity left. Guards
+// against a router that stays ready, or that keeps the connections of its callers open.
 func TestBusyRouterSendsCallersElsewhere(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const rate = 100_000
@@ -29,7 +29,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}()
-	g.Consistently(s.active, time.Second).Should(gomega.BeFalse(), "nothing is known of the zone")
+	g.Consistently(s.active, time.Second).Should(gomega.BeFalse(), "the load of the zone is unknown")
 	s.observe(&messenger.ZoneLoad{MeanPermille: 200, Routers: 14})
 	g.Eventually(s.active, time.Second).Should(gomega.BeTrue())
 	g.Expect(s.load(time.Now()).Shedding).To(gomega.BeTrue())
--- a/courier/source.go
+++ b/courier/source.go
@@ -9,47 +9,49 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// source is what a router knows of endpoints from one keeper.
-type source struct {
-	// Epoch is 0 for a keeper that does not tell changes.
+// keeperSource is the state received from one keeper.
+type keeperSource struct {
+	// epoch is 0 for a keeper that doesn't send changes.
 	epoch, revision uint64
-	// Routers holds by address the routers that the keeper named, as of routersRevision; 0
-	// for none.
+	// routers holds the routers that the keeper listed, by address, as of routersRevision,
+	// which is 0 if there are none.
 	routers         map[string]*messenger.FleetMember
 	routersRevision uint64
-	// Alive holds the endpoints that the keeper takes for alive, and renewedAt when that was
-	// last noted.
-	alive     map[enroller.Incarnation]bool
-	renewedAt time.Time
+	// alive holds the endpoints that the keeper considers alive. aliveRecordedAt is when
+	// that was last recorded in the endpoint table.
+	alive           map[enroller.Incarnation]bool
+	aliveRecordedAt time.Time
 }
 
 const (
-	// maxSharedEndpoints is how many endpoints a router hears of from every keeper that it asks.
-	// Of more it hears from one, the primary source, unless that one falls silent.
+	// maxSharedEndpoints is the number of endpoints up to which all keepers that are asked
+	// report endpoints. With more, only the primary source reports them, unless it falls silent.
 	maxSharedEndpoints = 512
-	// primaryTimeout is how long the primary source may be silent.
+	// primaryTimeout is how long the primary source may be silent before another keeper
+	// takes its place.
 	primaryTimeout = 2 * time.Second
 )
 
-// skipsEndpoints reports whether a keeper that is asked now need not tell of endpoints, since
-// the primary source does. If that one has been silent for too long, the keeper takes its place.
-func (f *fleet) skipsEndpoints(now time.Time, keeper string) bool {
-	if len(f.endpoints) <= maxSharedEndpoints || f.primary == keeper {
+// skipEndpoints reports whether a request to a keeper need not ask for endpoints, because
+// the primary source reports them. If that one has been silent for too long, the keeper
+// becomes the primary source.
+func (f *fleetView) skipEndpoints(now time.Time, keeper string) bool {
+	if len(f.endpoints) <= maxSharedEndpoints || f.primarySource == keeper {
 		return false
 	}
 	if now.Sub(f.primaryAt) < primaryTimeout {
 		return true
 	}
-	f.primary, f.primaryAt = keeper, now
+	f.primarySource, f.primaryAt = keeper, now
 	return false
 }
 
-// hearEndpoints takes in what a keeper tells of endpoints, asked at sent.
-func (f *fleet) hearEndpoints(keeper string, r *messenger.SyncReply, sent, now time.Time) {
+// updateEndpoints applies a keeper's report about endpoints, requested at sent.
+func (f *fleetView) updateEndpoints(keeper string, r *messenger.SyncReply, sent, now time.Time) {
 	s := f.sources[keeper]
 	switch {
 	case s == nil || s.epoch != r.Epoch:
-		s = &source{alive: map[enroller.Incarnation]bool{}}
+		s = &keeperSource{alive: map[enroller.Incarnation]bool{}}
 		f.sources[keeper] = s
 	case !r.Partial:
 		s.alive = map[enroller.Incarnation]bool{}
@@ -58,30 +60,30 @@
 	for _, g := range r.Gone {
 		i := enroller.LeaveOf(g)
 		delete(s.alive, i)
-		f.roll.Forget(i)
+		f.registered.Forget(i)
 	}
-	if sent.Sub(s.renewedAt) >= f.renewAlive {
-		s.renewedAt = sent
+	if sent.Sub(s.aliveRecordedAt) >= f.aliveInterval {
+		s.aliveRecordedAt = sent
 		for i := range s.alive {
-			f.roll.Alive(sent, i)
+			f.registered.Alive(sent, i)
 		}
 	}
 	for _, x := range r.Endpoints {
 		b, age := enroller.BeatOf(x)
 		if b.Cold > 0 {
-			// The age counts from the answer, not from the question.
+			// The remaining cold time counts from the reply, not from the request.
 			b.Cold += now.Sub(sent)
 		}
-		f.roll.Hear(sent, b, age)
+		f.registered.Hear(sent, b, age)
 		if r.Epoch != 0 {
 			s.alive[b.Incarnation] = true
 		}
 	}
 }
 
-// listRouters takes in what a keeper tells of routers. It returns all that it names, or nil
-// where it told nothing of them.
-func (f *fleet) listRouters(keeper string, r *messenger.SyncReply) []*messenger.FleetMember {
+// updateRouters applies a keeper's report about routers. It returns all routers that the
+// keeper lists, or nil if it reported none.
+func (f *fleetView) updateRouters(keeper string, r *messenger.SyncReply) []*messenger.FleetMember {
 	s := f.sources[keeper]
 	if s == nil || r.RoutersRevision == 0 {
 		return r.Routers
--- a/courier/source_test.go
+++ b/courier/source_test.go
@@ -10,26 +10,26 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Guards against endpoints that are forgotten though their keeper takes them for alive,
-// and against ones that stay though it does not.
+// Guards against removing endpoints that their keeper considers alive, and against keeping
+// those that it does not.
 func TestChangesKeepEndpointsAlive(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := &fleet{roll: enroller.NewTable(2 * time.Second), sources: map[string]*source{}}
+	f := &fleetView{registered: enroller.NewTable(2 * time.Second), sources: map[string]*keeperSource{}}
 	now := time.Unix(1000, 0)
 	sighting := func(id string) *messenger.Sighting {
 		return &messenger.Sighting{Id: id, Service: "s", Address: id + ":1", Zone: "z", Slots: 1, Sequence: 1}
 	}
 	ids := func() []string {
-		f.roll.Expire(now)
+		f.registered.Expire(now)
 		var out []string
-		for _, s := range f.roll.Sightings(now) {
+		for _, s := range f.registered.Sightings(now) {
 			out = append(out, s.Id)
 		}
 		return out
 	}
 	hear := func(keeper string, r *messenger.SyncReply) {
 		now = now.Add(time.Second)
-		f.hearEndpoints(keeper, r, now, now)
+		f.updateEndpoints(keeper, r, now, now)
 	}
 	hear("k1", &messenger.SyncReply{Epoch: 7, Revision: 3, Endpoints: []*messenger.Sighting{sighting("a"), sighting("b"), sighting("c")}})
 	for range 5 {
@@ -42,29 +42,29 @@
 	for range 3 {
 		hear("k1", &messenger.SyncReply{Epoch: 8, Revision: 1, Partial: true})
 	}
-	g.Expect(ids()).To(gomega.Equal([]string{"a"}), "the keeper started anew and knows one")
+	g.Expect(ids()).To(gomega.Equal([]string{"a"}), "the keeper restarted and knows one endpoint")
 }
 
-// Guards against routers of a keeper's list that are lost or kept when it tells changes, and
-// against changes of a keeper that started anew.
+// Guards against losing or keeping the wrong routers of a keeper's list when it sends only
+// changes, and against applying the changes of a restarted keeper to the previous list.
 func TestChangesOfRoutersAreApplied(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := &fleet{roll: enroller.NewTable(2 * time.Second), sources: map[string]*source{}}
+	f := &fleetView{registered: enroller.NewTable(2 * time.Second), sources: map[string]*keeperSource{}}
 	member := func(a string) *messenger.FleetMember { return &messenger.FleetMember{Address: a, Zone: "z"} }
 	hear := func(r *messenger.SyncReply) []string {
-		f.hearEndpoints("k", r, time.Unix(1000, 0), time.Unix(1000, 0))
+		f.updateEndpoints("k", r, time.Unix(1000, 0), time.Unix(1000, 0))
 		var out []string
-		for _, m := range f.listRouters("k", r) {
+		for _, m := range f.updateRouters("k", r) {
 			out = append(out, m.Address)
 		}
 		return out
 	}
 	g.Expect(hear(&messenger.SyncReply{Epoch: 7, RoutersRevision: 4, Routers: []*messenger.FleetMember{member("a"), member("b")}})).To(gomega.ConsistOf("a", "b"))
-	g.Expect(hear(&messenger.SyncReply{Epoch: 7, Partial: true})).To(gomega.BeEmpty(), "not asked for")
+	g.Expect(hear(&messenger.SyncReply{Epoch: 7, Partial: true})).To(gomega.BeEmpty(), "routers were not requested")
 	change := &messenger.SyncReply{Epoch: 7, Partial: true, RoutersPartial: true, RoutersRevision: 6, Routers: []*messenger.FleetMember{member("c")}, RoutersGone: []string{"a"}}
 	g.Expect(hear(change)).To(gomega.ConsistOf("b", "c"))
 	g.Expect(hear(&messenger.SyncReply{Epoch: 7, Partial: true, RoutersPartial: true, RoutersRevision: 6})).To(gomega.ConsistOf("b", "c"))
 	g.Expect(hear(&messenger.SyncReply{Epoch: 8, RoutersRevision: 1, Routers: []*messenger.FleetMember{member("d")}})).To(gomega.ConsistOf("d"))
 	older := &messenger.SyncReply{Epoch: 8, Partial: true, Routers: []*messenger.FleetMember{member("e")}}
-	g.Expect(hear(older)).To(gomega.ConsistOf("e"), "a keeper of an older version tells all")
+	g.Expect(hear(older)).To(gomega.ConsistOf("e"), "a keeper of an older version lists all routers")
 }
--- a/courier/question_test.go
+++ b/courier/sync_test.go
@@ -10,23 +10,23 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Pattern: 200 routers of a zone with five keepers, of 25 in all. Guards against keepers of
-// a zone of which one is asked by all routers, and against routers that ask other zones.
+// 200 routers are in a zone with five of 25 keepers. Guards against a keeper that all
+// routers of its zone ask, and against routers that ask keepers of other zones.
 func TestRoutersSpreadOverTheKeepersOfTheirZone(t *testing.T) {
 	g := gomega.NewWithT(t)
 	asked := map[string]int{}
 	for i := range 200 {
-		f := &fleet{
+		f := &fleetView{
 			self:    &messenger.FleetMember{Address: fmt.Sprintf("10.1.0.%d:7340", i), Zone: "z1"},
-			keepers: map[string]*messenger.Link{}, zones: map[string]string{},
+			keepers: map[string]*messenger.Link{}, keeperZones: map[string]string{},
 		}
 		for zone := range 5 {
 			for n := range 5 {
-				f.learn(fmt.Sprintf("10.%d.1.%d:7340", zone, n), fmt.Sprint("z", zone))
+				f.addKeeper(fmt.Sprintf("10.%d.1.%d:7340", zone, n), fmt.Sprint("z", zone))
 			}
 		}
-		first := f.order()[0].Address()
-		g.Expect(f.zones[first]).To(gomega.Equal("z1"))
+		first := f.keeperOrder()[0].Address()
+		g.Expect(f.keeperZones[first]).To(gomega.Equal("z1"))
 		asked[first]++
 	}
 	for k, n := range asked {
@@ -34,9 +34,9 @@
 	}
 }
 
-// Pattern: 25 keepers that know 600 endpoints, all of them silent for some seconds. Guards
-// against a router that asks each of them for all endpoints at once, over a link that takes
-// seconds to carry the answers.
+// 25 keepers know 600 endpoints and all fall silent for some seconds. Guards against a
+// router that asks each of them for all endpoints at once, over a link that needs seconds
+// to carry the replies.
 func TestOneKeeperAtATimeTellsOfManyEndpoints(t *testing.T) {
 	g := gomega.NewWithT(t)
 	known := &messenger.Sightings{}
@@ -57,17 +57,17 @@
 	g.Eventually(func() []string { return inService(f) }, 3*time.Second, 10*time.Millisecond).Should(gomega.HaveLen(len(known.Sightings)))
 	before := int64(0)
 	for _, k := range stubs {
-		before += k.askedEndpoints.Load()
+		before += k.endpointSyncs.Load()
 		k.sync.Store(int64(time.Minute))
 	}
 	time.Sleep(3 * time.Second)
 	asked, after := 0, int64(0)
 	for _, k := range stubs {
-		if k.asked.Load() > 0 {
+		if k.syncs.Load() > 0 {
 			asked++
 		}
-		after += k.askedEndpoints.Load()
+		after += k.endpointSyncs.Load()
 	}
-	g.Expect(asked).To(gomega.Equal(len(stubs)), "all are asked whether they answer")
-	g.Expect(after-before).To(gomega.BeNumerically("<=", 4), "questions for all endpoints in 3 s")
+	g.Expect(asked).To(gomega.Equal(len(stubs)), "all keepers are asked")
+	g.Expect(after-before).To(gomega.BeNumerically("<=", 4), "sync requests for all endpoints in 3 s")
 }
--- a/courier/warmup.go
+++ b/courier/warmup.go
@@ -12,14 +12,14 @@
 	"rattanhoist.example/rattanhoist/warmer"
 )
 
-// warmup limits what this router sends to cold and rate limited endpoints. It belongs to
-// the goroutine of the fleet's run.
+// warmup limits the requests that this router sends to cold and rate limited endpoints. It
+// is only used by the goroutine of fleetView.run.
 type warmup struct {
 	members          *warmer.Members
 	overshoot, slack float64
-	// RateLimit is the fleet's bound on a rate limited endpoint; PerSecond is unset.
+	// rateLimit is the limit of the fleet for a rate limited endpoint. PerSecond is not set.
 	rateLimit warmer.Limit
-	// Cold holds the endpoints whose gates were closed last.
+	// cold holds the endpoints that have been limited as cold.
 	cold map[enroller.Incarnation]bool
 }
 
@@ -34,8 +34,7 @@
 	return w
 }
 
-// observe takes in the routers that a keeper tells of whose copy a majority confirmed
-// lately.
+// observe records the routers that a keeper listed, whose copy a majority confirmed recently.
 func (w *warmup) observe(now time.Time, routers []*messenger.FleetMember) {
 	list := make([]warmer.Member, len(routers))
 	for i, m := range routers {
@@ -44,21 +43,22 @@
 	w.members.Observe(now, list)
 }
 
-// apply sets the gates of cold endpoints. An endpoint of a zone that was evacuated counts
-// as cold for as long as one that starts: it may have become so shortly before the return.
-// Before the first document, which knows the limits, cold endpoints get nothing.
-func (w *warmup) apply(now time.Time, f *fleet) {
-	if !w.applies(f) {
+// applyLimits sets the limits of cold and rate limited endpoints. After the evacuation of a
+// zone, its endpoints count as cold for as long as newly started ones, because they may
+// have been started shortly before the return. Before the first document, which contains
+// the limits, cold endpoints get no requests.
+func (w *warmup) applyLimits(now time.Time, f *fleetView) {
+	if !w.needsUpdate(f) {
 		return
 	}
-	x, byBeat, returned := f.index.Load(), f.roll.ColdUntil(now), f.evacuations.load().returned
+	x, byBeat, returned := f.index.Load(), f.registered.ColdUntil(now), f.evacuations.load().returned
 	for i, e := range f.endpoints {
 		w.applyRateLimit(now, e)
 		until, cold := byBeat[i], publisher.Cold{}
 		if x != nil {
 			service := x.Service(e.Beat().Service)
 			if service == nil || service.Cold.PerSecond <= 0 {
-				w.limit(now, e, time.Time{}, cold)
+				w.setColdLimit(now, e, time.Time{}, cold)
 				continue
 			}
 			cold = service.Cold
@@ -66,13 +66,13 @@
 		if at, ok := returned[e.Beat().Zone]; ok && at.Add(cold.Duration).After(until) {
 			until = at.Add(cold.Duration)
 		}
-		w.limit(now, e, until, cold)
+		w.setColdLimit(now, e, until, cold)
 	}
 	maps.DeleteFunc(w.cold, func(i enroller.Incarnation, _ bool) bool { return f.endpoints[i] == nil })
 }
 
-// applies reports whether the gate of any endpoint may have to be set.
-func (w *warmup) applies(f *fleet) bool {
+// needsUpdate reports whether the limits of any endpoint may have to be set.
+func (w *warmup) needsUpdate(f *fleetView) bool {
 	x := f.index.Load()
 	if x == nil || len(w.cold) > 0 || f.rateLimited.Load() {
 		return true
@@ -80,7 +80,9 @@
 	return slices.ContainsFunc(x.Document().Services, func(s publisher.Service) bool { return s.Cold.PerSecond > 0 })
 }
 
-func (w *warmup) limit(now time.Time, e *predictor.Endpoint, until time.Time, c publisher.Cold) {
+// setColdLimit sets this router's share of the rate of a cold endpoint, or removes the limit
+// once the endpoint is no longer cold.
+func (w *warmup) setColdLimit(now time.Time, e *predictor.Endpoint, until time.Time, c publisher.Cold) {
 	b := e.Beat()
 	if !until.After(now) {
 		if w.cold[b.Incarnation] {
@@ -94,8 +96,8 @@
 	e.Warmup().Set(now, until, share, w.ownedUntil(now, e, owners))
 }
 
-// ownedUntil returns until when this router may act as an owner of an endpoint, or the
-// zero time if it is none.
+// ownedUntil returns the time until which this router may act as an owner of an endpoint,
+// or the zero time if it isn't an owner.
 func (w *warmup) ownedUntil(now time.Time, e *predictor.Endpoint, owners int) time.Time {
 	if !w.members.Owns(e.Name(), e.Beat().Zone, owners) {
 		return time.Time{}
--- a/courier/warmup_test.go
+++ b/courier/warmup_test.go
@@ -11,9 +11,9 @@
 	"rattanhoist.example/rattanhoist/publisher"
 )
 
-// Guards against work for a cold endpoint from a router that owns no share of it: one
-// that has just started, whatever it was told.
-func TestAStartingRouterLeavesColdEndpointsAlone(t *testing.T) {
+// Guards against requests to a cold endpoint from a router that owns no share of it. A
+// router that has just started owns none, whatever keepers report.
+func TestStartingRouterAvoidsColdEndpoints(t *testing.T) {
 	g := gomega.NewWithT(t)
 	k := &keeperStub{}
 	cold := func(ms int64, sequence uint64) {
@@ -42,6 +42,6 @@
 	cold(0, 2)
 	g.Eventually(chosen, time.Second, 10*time.Millisecond).Should(gomega.Equal("cold"), "warm again, and in the router's zone")
 	k.evacuations.Store(&messenger.Evacuations{Revision: 2, Returned: []*messenger.ZoneReturn{{Zone: "z"}}})
-	g.Eventually(chosen, time.Second, 10*time.Millisecond).Should(gomega.Equal("warm"), "it may be cold after the return of its zone")
+	g.Eventually(chosen, time.Second, 10*time.Millisecond).Should(gomega.Equal("warm"), "may be cold after the return of its zone")
 	g.Eventually(chosen, 2*time.Second, 10*time.Millisecond).Should(gomega.Equal("cold"))
 }
