--- a/predictor/bench_test.go
+++ b/predictor/bench_test.go
@@ -8,8 +8,8 @@
 	"rattanhoist.example/rattanhoist/predictor"
 )
 
-// BenchmarkChoose measures one decision at the number of endpoints that a small
-// and a large deployment have for one service.
+// BenchmarkChoose measures one choice among as many endpoints as a small and a large
+// deployment have for one service.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{12, 216} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
--- a/predictor/candidates.go
+++ b/predictor/candidates.go
@@ -3,27 +3,28 @@
 import "math/rand/v2"
 
 const (
-	// maxExhaustive is the largest group of which every endpoint is considered for each
-	// request. Of a larger one, nearCandidates of the router's zone and farCandidates of
-	// other zones are drawn at random.
-	maxExhaustive  = 256
-	nearCandidates = 16
-	farCandidates  = 4
-	// giantCandidates are drawn of the endpoints set apart for giants.
-	giantCandidates = 4
+	// maxExhaustive is the size of the largest group in which every endpoint is evaluated
+	// for each request. In a larger one, localCandidates endpoints of the router's zone and
+	// remoteCandidates of other zones are drawn at random.
+	maxExhaustive    = 256
+	localCandidates  = 16
+	remoteCandidates = 4
+	// dedicatedCandidates is how many endpoints dedicated to very long prompts are drawn as
+	// well.
+	dedicatedCandidates = 4
 )
 
-// candidates returns the endpoints to consider for a request: beside the home, a draw of
-// constant size.
+// candidates returns the endpoints to evaluate for a request. In a large group, that is a
+// random sample of constant size and the home endpoint.
 func (g *group) candidates(a Ask, home *Endpoint) []*Endpoint {
 	if len(g.endpoints) <= maxExhaustive {
 		return g.endpoints
 	}
-	out := make([]*Endpoint, 0, nearCandidates+farCandidates+giantCandidates+1)
-	out = appendDraw(out, g.near, nearCandidates)
-	out = appendDraw(out, g.far, farCandidates)
-	if a.Prompt != nil && a.Prompt.In >= giant {
-		out = appendDraw(out, g.nearApart, giantCandidates)
+	out := make([]*Endpoint, 0, localCandidates+remoteCandidates+dedicatedCandidates+1)
+	out = appendRandom(out, g.local, localCandidates)
+	out = appendRandom(out, g.remote, remoteCandidates)
+	if a.Prompt != nil && a.Prompt.In >= veryLongPromptTokens {
+		out = appendRandom(out, g.localDedicated, dedicatedCandidates)
 	}
 	if home != nil {
 		out = append(out, home)
@@ -31,8 +32,9 @@
 	return out
 }
 
-// appendDraw appends n endpoints drawn from a list, which may repeat.
-func appendDraw(out, list []*Endpoint, n int) []*Endpoint {
+// appendRandom appends n endpoints drawn at random from a list; the same one may be drawn
+// several times.
+func appendRandom(out, list []*Endpoint, n int) []*Endpoint {
 	if len(list) == 0 {
 		return out
 	}
--- a/predictor/candidates_test.go
+++ b/predictor/candidates_test.go
@@ -10,6 +10,8 @@
 	"rattanhoist.example/rattanhoist/enroller"
 )
 
+// largeTable returns a table with n endpoints of one service, a tenth of them in another
+// zone than the router's.
 func largeTable(n int) (*Table, []*Endpoint) {
 	t, list := NewTable("a"), []*Endpoint(nil)
 	for i := range n {
@@ -25,12 +27,13 @@
 	return t, list
 }
 
+// sharing returns a request whose prompt starts with the given shared part.
 func sharing(part string) Ask {
 	return Ask{Service: "llm", Prompt: &Prompt{In: 6_000, Out: 100, Parts: []Part{{ID: part, Tokens: 5_000}, {ID: "own", Tokens: 1_000}}}}
 }
 
-// Pattern: a service of 2,000 and of 4,000 endpoints. Guards against a choice that looks at
-// all endpoints for each request.
+// Guards against a choice that evaluates all endpoints of a large service for each request:
+// the number of candidates must be the same with 2,000 and 4,000 endpoints.
 func TestChoiceTakesTheSameStepsAtTwiceTheSize(t *testing.T) {
 	g := gomega.NewWithT(t)
 	size := func(n int) int {
@@ -43,8 +46,8 @@
 	g.Expect(size(2_000)).To(gomega.BeNumerically("<", 32))
 }
 
-// Guards against shared parts of prompts that routers of a zone look for at different
-// endpoints, or that all move when one endpoint leaves.
+// Guards against routers of a zone that look for the same shared part at different
+// endpoints, and against all parts moving when one endpoint leaves.
 func TestHomesOfALargeServiceAgree(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x, list := largeTable(2_000)
@@ -69,8 +72,8 @@
 	g.Expect(most).To(gomega.BeNumerically("<", 16), "2.2 on average")
 }
 
-// Pattern: a cut takes nearly all endpoints of a large service out at once. Guards against
-// refusals because none of those drawn is in service.
+// Guards against refusals because no endpoint of the random sample is in service, as when a
+// network partition takes nearly all endpoints of a large service out at once.
 func TestLastEndpointOfALargeServiceIsFound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x, list := largeTable(1_000)
@@ -80,17 +83,17 @@
 	g.Expect(x.Choose(time.Now(), sharing("p")).Endpoint()).To(gomega.BeIdenticalTo(list[0]))
 }
 
-// Pattern: prompts of 30,000 tokens at 2,000 endpoints. Guards against all of them going to
-// one endpoint, or to those that serve short prompts.
-func TestGiantsOfALargeServiceAreSpreadOverWhatIsSetApart(t *testing.T) {
+// Guards against very long prompts, of 30,000 tokens, that all go to one of 2,000
+// endpoints, or to endpoints that serve short prompts.
+func TestVeryLongPromptsAreSpreadOverDedicatedEndpoints(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x, _ := largeTable(2_000)
 	group, now := (*x.byService.Load())["llm"], time.Now()
-	g.Expect(len(group.nearApart)).To(gomega.Equal(28))
+	g.Expect(len(group.localDedicated)).To(gomega.Equal(28))
 	seen := map[*Endpoint]bool{}
 	for range 200 {
 		w := x.Choose(now, Ask{Service: "llm", Prompt: &Prompt{In: 30_000, Out: 100, Parts: []Part{{ID: "own", Tokens: 30_000}}}})
-		g.Expect(group.apart[w.Endpoint()]).To(gomega.BeTrue())
+		g.Expect(group.dedicated[w.Endpoint()]).To(gomega.BeTrue())
 		seen[w.Endpoint()] = true
 		w.First(now)
 		w.End()
--- a/predictor/endpoint.go
+++ b/predictor/endpoint.go
@@ -1,5 +1,5 @@
-// Package predictor knows how busy each endpoint is, as one router sees it, and
-// predicts how long a request would wait there.
+// Package predictor tracks the load of each endpoint as seen by one router and chooses the
+// endpoint where a request is predicted to wait the shortest time.
 package predictor
 
 import (
@@ -16,59 +16,66 @@
 )
 
 const (
-	// paceGain is the weight of the newest measurement of an endpoint's pace: ten
-	// prompts show that it has turned slow, one late answer doesn't. A prompt counts
-	// the less the less there was to read, below paceWhole: its time is mostly
-	// waiting. Below paceLeast it tells nothing.
-	paceGain  = 0.1
-	paceWhole = 100 * time.Millisecond
-	paceLeast = 20 * time.Millisecond
-	// paceMost bounds the pace: an endpoint that slow gets no work while there is
-	// another.
-	paceMost = 20
-	// beliefFades is how long it is believed that an endpoint is slow which nothing has
-	// shown since: else one that is avoided for it would never show that it is well.
-	beliefFades = 10 * time.Second
-	// paceOrdinary is how far from an ordinary endpoint's one may be for what it
-	// shows to be learned of all.
-	paceOrdinary = 1.4
-	// slowerGain is the weight of the newest plain answer in how much slower than the
-	// others an endpoint is.
-	slowerGain = 0.1
-	// reportTrust is how long a reported load counts: a few times the lag that
-	// reports have anyway.
-	reportTrust = 500 * time.Millisecond
-	// partsLeast is how many parts of one endpoint are remembered before those that it
-	// can't keep any more are looked for; then that is done at each doubling.
-	partsLeast = 64
-	// keepsPart of an endpoint's memory is taken to hold parts of prompts: what is
-	// running takes the rest. The parts used least lately yield first, so a part is
-	// gone once so many other tokens were read since its last use.
-	keepsPart = 0.5
+	// prefillFactorGain is the weight of the newest measurement in an endpoint's prefill
+	// factor: ten slow prompts show that the endpoint has become slow, one late answer does
+	// not. Measurements of prompts with less than fullWeightPrefill of expected prefill
+	// time count in proportion to it, since most of their time is waiting. Those below
+	// minMeasuredPrefill are ignored.
+	prefillFactorGain  = 0.1
+	fullWeightPrefill  = 100 * time.Millisecond
+	minMeasuredPrefill = 20 * time.Millisecond
+	// maxPrefillFactor bounds the prefill factor. An endpoint that slow gets no work while
+	// another one is available.
+	maxPrefillFactor = 20
+	// estimateDecay is the time constant with which estimates of an endpoint's slowness
+	// decay while there are no new measurements. Without the decay, an endpoint that is
+	// avoided because it was slow would never get the requests that show that it has
+	// recovered.
+	estimateDecay = 10 * time.Second
+	// Measurements of an endpoint update the latency model of its whole service only while
+	// its prefill factor is between 1/typicalFactorLimit and typicalFactorLimit.
+	typicalFactorLimit = 1.4
+	// extraAnswerTimeGain is the weight of the newest plain answer in an endpoint's extra
+	// answer time.
+	extraAnswerTimeGain = 0.1
+	// reportedLoadTTL is how long a reported load is used: a few times the delay with which
+	// reports arrive in any case.
+	reportedLoadTTL = 500 * time.Millisecond
+	// minPartsToSweep is the number of parts recorded for an endpoint at which evicted
+	// parts are removed for the first time. After that, they are removed each time the
+	// number has doubled.
+	minPartsToSweep = 64
+	// partsCacheFraction is the fraction of an endpoint's cache that is assumed to hold
+	// prompt parts; running requests use the rest. The least recently used parts are
+	// evicted first, so a part is gone once that many other tokens have been prefilled
+	// since its last use.
+	partsCacheFraction = 0.5
 	// backoffJitterDivisor limits the random delay added to a Retry-After period to the
 	// period divided by it.
 	backoffJitterDivisor = 8
-	// memoryUnknown stands for an endpoint's memory where the document does not
-	// state it, in tokens: below what the engines in use have.
-	memoryUnknown = 200_000
+	// defaultCacheTokens is the cache size, in tokens, of endpoints for which the
+	// configuration states none. It is lower than that of the engines in use.
+	defaultCacheTokens = 200_000
 )
 
-// Part is one part of a prompt; requests share parts.
+// Part is a contiguous part of a prompt. Prompts that start with the same parts can share
+// their cached prefill.
 type Part struct {
 	ID     string
 	Tokens int64
 }
 
-// Prompt is what is known of a generation before it runs.
+// Prompt describes the input of a generation request before it runs.
 type Prompt struct {
 	Model string
 	Parts []Part
-	// In is the number of prompt tokens, Out the most that may be generated.
+	// InputTokens is the number of prompt tokens, MaxOutputTokens the maximum number of
+	// tokens to generate.
 	In, Out int64
 }
 
-// Shared returns the parts that other requests may have too: the last one is
-// the request's own.
+// Shared returns the parts that other requests may have as well: all but the last one,
+// which belongs to this request alone.
 func (p *Prompt) Shared() []Part {
 	if len(p.Parts) == 0 {
 		return nil
@@ -86,8 +93,8 @@
 	return out
 }
 
-// own returns the tokens that no other request shares.
-func (p *Prompt) own() int64 {
+// unsharedTokens returns the number of prompt tokens outside the shared parts.
+func (p *Prompt) unsharedTokens() int64 {
 	left := p.In
 	for _, part := range p.Shared() {
 		left -= part.Tokens
@@ -95,70 +102,76 @@
 	return max(left, 0)
 }
 
-// Endpoint is one incarnation of an endpoint with this router's view of it.
-// It is safe for concurrent use.
+// Endpoint is one incarnation of an endpoint together with this router's view of it. It is
+// safe for concurrent use.
 type Endpoint struct {
 	beat enroller.Beat
-	// Name is the incarnation as text.
+	// name is the incarnation in text form.
 	name string
 	gate ejector.Gate
-	// Warmup is closed while the endpoint is cold and this router may send nothing.
-	warmup warmer.Gate
-	lost   atomic.Bool
+	// warmup limits the requests of this router while the endpoint is cold, rate limited or
+	// shedding load.
+	warmup   warmer.Gate
+	excluded atomic.Bool
 
 	mu sync.Mutex
-	// Running counts this router's requests there.
+	// running counts this router's requests at the endpoint.
 	running int
 	queue   queue
-	// Ordinary belongs to the endpoint's service, from when it was first put in service.
-	ordinary *Ordinary
-	serving  bool
-	// Pace is how many times as long as an ordinary endpoint this one took to read
-	// what it was last seen to read, at paceAt.
-	pace   float64
-	paceAt time.Time
-	// Slower is how much longer than on average plain answers take there, as of slowerAt.
-	slower   time.Duration
-	slowerAt time.Time
-	// Reported is the load that the endpoint told last, of all routers.
+	// model is shared by all endpoints of the service from the time when the endpoint is
+	// first put in service.
+	model     *LatencyModel
+	inService bool
+	// prefillFactor is the estimated ratio, as of prefillFactorAt, of this endpoint's
+	// prefill time to that of a typical endpoint of its service.
+	prefillFactor   float64
+	prefillFactorAt time.Time
+	// extraAnswerTime is the estimated time, as of extraAnswerTimeAt, by which plain
+	// answers take longer here than the service's average.
+	extraAnswerTime   time.Duration
+	extraAnswerTimeAt time.Time
+	// reported is the load last reported by the endpoint; it includes the requests of all
+	// routers.
 	reported   Load
 	reportedAt time.Time
-	// Read counts the prompt tokens that the endpoint was given to read; parts maps
-	// the shared parts of prompts to their last use there.
-	read  int64
-	parts map[string]use
-	// Memory is what the endpoint keeps, in tokens; sweepAt the number of parts at which
-	// to look for those that are gone.
-	memory  int64
-	sweepAt int
+	// prefilled counts the prompt tokens that the endpoint was sent for prefill; parts maps
+	// the ids of shared prompt parts to their last use there.
+	prefilled int64
+	parts     map[string]partUse
+	// cacheTokens is the size of the endpoint's cache; sweepAt is the number of parts at
+	// which evicted ones are removed.
+	cacheTokens int64
+	sweepAt     int
 }
 
-// Keeps takes in what the endpoint itself says that it keeps.
+// AddCachedParts records parts that the endpoint itself reports as cached.
 func (e *Endpoint) Keeps(parts []Part) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range parts {
 		if _, known := e.parts[p.ID]; !known {
-			e.parts[p.ID] = use{read: e.read, tokens: p.Tokens}
+			e.parts[p.ID] = partUse{prefilled: e.prefilled, reportedTokens: p.Tokens}
 		}
 	}
 }
 
-// use is the last use of a part at an endpoint.
-type use struct {
-	// Tokens is how much of the part is kept where the endpoint has told; 0 for all.
-	tokens int64
-	// Read is the endpoint's count of tokens then.
-	read int64
-	// First is where in the queue the prompt ends that brought the part: once that
-	// is read, so is the part.
-	first time.Duration
+// partUse is the last use of a prompt part at an endpoint.
+type partUse struct {
+	// reportedTokens is how many tokens of the part are cached according to the endpoint; 0
+	// stands for the whole part.
+	reportedTokens int64
+	// prefilled is the value of the endpoint's counter of prefilled tokens at that time.
+	prefilled int64
+	// queuePosition is the end, in the endpoint's queue, of the prompt that first contained
+	// the part. The part is available once the queue has been processed up to there.
+	queuePosition time.Duration
 }
 
-// Load is what an endpoint tells of itself.
+// Load is the load that an endpoint reports about itself.
 type Load struct {
 	Running, Waiting, Slots int
-	// Slowdown is how many times as long as usual work takes there now; 0 if not reported.
+	// Slowdown is the ratio of the current duration of work there to the usual one; 0 if
+	// not reported.
 	Slowdown float64
 }
 
@@ -194,204 +207,212 @@
 	return retryAfter + rand.N(retryAfter/backoffJitterDivisor+1)
 }
 
-// Observe records the state that the endpoint reported in its response to a request sent
-// at sentAt, and returns what changed.
+// Observe records the state that the endpoint reported in its response to a request sent at
+// sentAt, and returns what changed.
 func (e *Endpoint) Observe(s State, sentAt, now time.Time) StateChange {
 	if s.Cold > 0 {
 		e.warmup.Extend(now, now.Add(s.Cold))
 	}
 	if s.Load != nil {
-		e.Report(now, *s.Load)
+		e.ObserveLoad(now, *s.Load)
 	}
 	return StateChange{
 		RateLimit:       e.warmup.ObserveRateLimit(s.RateLimit, sentAt, now),
 		SheddingStarted: e.warmup.ObserveBackoff(withJitter(s.RetryAfter), sentAt, now),
-		LeavingStarted:  s.Leaving && !e.lost.Swap(true),
+		LeavingStarted:  s.Leaving && !e.excluded.Swap(true),
 	}
 }
 
-// NewEndpoint returns an endpoint without history.
+// NewEndpoint returns an endpoint without any measurements.
 func NewEndpoint(b enroller.Beat) *Endpoint {
 	return &Endpoint{
-		beat: b, name: b.String(), ordinary: NewOrdinary(), pace: 1,
-		parts: map[string]use{}, memory: memoryUnknown, sweepAt: partsLeast,
+		beat: b, name: b.String(), model: NewLatencyModel(), prefillFactor: 1,
+		parts: map[string]partUse{}, cacheTokens: defaultCacheTokens, sweepAt: minPartsToSweep,
 	}
 }
 
-// serve puts the endpoint in service with what is learned of all of its service. It
-// has no effect on one that was in service before.
-func (e *Endpoint) serve(r *Ordinary) {
+// putInService puts the endpoint in service with the latency model of its service. It has
+// no effect on an endpoint that is in service already.
+func (e *Endpoint) putInService(m *LatencyModel) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.serving {
-		e.serving, e.ordinary = true, r
+	if !e.inService {
+		e.inService, e.model = true, m
 	}
 }
 
-// Beat returns what the endpoint announced.
+// Beat returns the endpoint's announcement.
 func (e *Endpoint) Beat() enroller.Beat { return e.beat }
 
-// Name returns the incarnation as text: the key under which connections to it
-// are kept, and its name in what routers tell each other.
+// Name returns the incarnation in text form. It identifies the endpoint in the connection
+// pool and in messages between routers.
 func (e *Endpoint) Name() string { return e.name }
 
-// Gate returns the endpoint's state of failures.
+// Gate returns the endpoint's failure state.
 func (e *Endpoint) Gate() *ejector.Gate { return &e.gate }
 
-// Warmup returns what limits requests to the endpoint while it is cold.
+// Warmup returns the gate that limits requests to the endpoint while it is cold, rate
+// limited or shedding load.
 func (e *Endpoint) Warmup() *warmer.Gate { return &e.warmup }
 
-// Lose takes the endpoint out of this router's choice for good: another
+// Exclude permanently removes the endpoint from this router's candidates: another
 // incarnation answered at its address, or it is leaving.
-func (e *Endpoint) Lose() { e.lost.Store(true) }
+func (e *Endpoint) Lose() { e.excluded.Store(true) }
 
-// Running returns how many of this router's requests are there.
+// Running returns the number of this router's requests at the endpoint.
 func (e *Endpoint) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running
 }
 
-// Report takes the endpoint's own load in.
-func (e *Endpoint) Report(now time.Time, l Load) {
+// ObserveLoad records the load that the endpoint reported.
+func (e *Endpoint) ObserveLoad(now time.Time, l Load) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.reported, e.reportedAt = l, now
 }
 
-// busy is the number of requests there, of all routers as far as known.
-func (e *Endpoint) busy(now time.Time) int {
-	if now.Sub(e.reportedAt) < reportTrust {
+// activeRequests returns the number of requests of all routers at the endpoint, as far as
+// it is known.
+func (e *Endpoint) activeRequests(now time.Time) int {
+	if now.Sub(e.reportedAt) < reportedLoadTTL {
 		return max(e.running, e.reported.Running+e.reported.Waiting)
 	}
 	return e.running
 }
 
-// slowdown is how many times as long as usual the endpoint last reported that work takes,
-// or 1 if that is not known or too old.
-func (e *Endpoint) slowdown(now time.Time) float64 {
-	if e.reported.Slowdown > 0 && now.Sub(e.reportedAt) < reportTrust {
+// reportedSlowdown returns the slowdown that the endpoint last reported, or 1 if there is
+// no report or only an old one.
+func (e *Endpoint) reportedSlowdown(now time.Time) float64 {
+	if e.reported.Slowdown > 0 && now.Sub(e.reportedAt) < reportedLoadTTL {
 		return e.reported.Slowdown
 	}
 	return 1
 }
 
-// uncached returns the tokens of a prompt that must be read there: a part is
-// kept only if all parts before it are.
-func (e *Endpoint) uncached(p *Prompt, memory int64) int64 {
-	if memory > 0 {
-		e.memory = memory
+// uncachedTokens returns the number of prompt tokens that the endpoint has to prefill. A
+// part can be reused only if all parts before it are cached.
+func (e *Endpoint) uncachedTokens(p *Prompt, cacheTokens int64) int64 {
+	if cacheTokens > 0 {
+		e.cacheTokens = cacheTokens
 	}
-	left := p.In
+	uncached := p.In
 	for _, part := range p.Shared() {
 		u, ok := e.parts[part.ID]
-		if !ok || e.gone(u) || u.tokens > 0 && u.tokens < part.Tokens {
+		if !ok || e.evicted(u) || u.reportedTokens > 0 && u.reportedTokens < part.Tokens {
 			break
 		}
-		left -= part.Tokens
+		uncached -= part.Tokens
 	}
-	return max(left, 0)
+	return max(uncached, 0)
 }
 
-// finished returns the tokens of a prompt that are kept and were read by now.
-func (e *Endpoint) finished(p *Prompt, memory int64) int64 {
-	kept := p.In - e.uncached(p, memory)
+// prefilledTokens returns the number of prompt tokens in the cache whose prefill is
+// predicted to be complete.
+func (e *Endpoint) prefilledTokens(p *Prompt, cacheTokens int64) int64 {
+	cached := p.In - e.uncachedTokens(p, cacheTokens)
 	var sum int64
 	for _, part := range p.Shared() {
-		if sum += part.Tokens; sum > kept || e.parts[part.ID].first > e.queue.read {
+		if sum += part.Tokens; sum > cached || e.parts[part.ID].queuePosition > e.queue.processed {
 			return sum - part.Tokens
 		}
 	}
 	return sum
 }
 
-// given notes a prompt that the endpoint was given and that ends at a place in its
-// queue.
-func (e *Endpoint) given(unread int64, place time.Duration, parts []string) {
-	e.read += unread
-	e.sweep()
+// recordPrefill records a prompt that was sent to the endpoint and that ends at a position
+// in its queue.
+func (e *Endpoint) recordPrefill(uncachedTokens int64, position time.Duration, parts []string) {
+	e.prefilled += uncachedTokens
+	e.removeEvicted()
 	for _, id := range parts {
 		u, ok := e.parts[id]
 		if !ok {
-			u.first = place
+			u.queuePosition = position
 		}
-		u.read, u.tokens = e.read, 0
+		u.prefilled, u.reportedTokens = e.prefilled, 0
 		e.parts[id] = u
 	}
 }
 
-// gone reports whether so much was read since a part's last use that it has yielded.
-func (e *Endpoint) gone(u use) bool {
-	return float64(e.read-u.read) > keepsPart*float64(e.memory)
+// evicted reports whether so many tokens were prefilled since the last use of a part that
+// it is no longer in the cache.
+func (e *Endpoint) evicted(u partUse) bool {
+	return float64(e.prefilled-u.prefilled) > partsCacheFraction*float64(e.cacheTokens)
 }
 
-// sweep forgets the parts that have yielded. Without it a router remembers the parts of
-// each prompt that it ever heard of, 100 bytes each; forgetting all at once instead, all
-// of them are taken to be read anew.
-func (e *Endpoint) sweep() {
+// removeEvicted removes the evicted parts from memory once there are sweepAt parts.
+// Otherwise a router would remember the parts of every prompt that it ever heard of, at 100
+// bytes each. Removing all parts instead would make the router assume that each of them has
+// to be prefilled again.
+func (e *Endpoint) removeEvicted() {
 	if len(e.parts) < e.sweepAt {
 		return
 	}
-	maps.DeleteFunc(e.parts, func(_ string, u use) bool { return e.gone(u) })
-	e.sweepAt = max(2*len(e.parts), partsLeast)
+	maps.DeleteFunc(e.parts, func(_ string, u partUse) bool { return e.evicted(u) })
+	e.sweepAt = max(2*len(e.parts), minPartsToSweep)
 }
 
-// Sent notes a prompt that another router sent there.
+// RecordDispatch records a prompt that another router sent to the endpoint.
 func (e *Endpoint) Sent(now time.Time, d Dispatch) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	place := e.queue.add(now, d.Takes, e.paceNow(now))
-	e.given(d.Unread, place, d.Parts)
+	position := e.queue.add(now, d.Takes, e.currentPrefillFactor(now))
+	e.recordPrefill(d.Unread, position, d.Parts)
 }
 
-// paceNow is the pace as it is believed now.
-func (e *Endpoint) paceNow(now time.Time) float64 {
-	return 1 + (e.pace-1)*faded(now.Sub(e.paceAt))
+// currentPrefillFactor returns the prefill factor, which decays towards 1 without new
+// measurements.
+func (e *Endpoint) currentPrefillFactor(now time.Time) float64 {
+	return 1 + (e.prefillFactor-1)*remainingWeight(now.Sub(e.prefillFactorAt))
 }
 
-// Dispatch is what routers tell each other of a prompt that they sent.
+// Dispatch is the information that routers exchange about a prompt sent to an endpoint.
 type Dispatch struct {
-	// Unread is the tokens that the endpoint must read, and Takes how long that
-	// takes an ordinary one.
+	// UncachedTokens is the number of tokens that the endpoint has to prefill, and
+	// PrefillTime how long that takes a typical endpoint.
 	Unread int64
 	Takes  time.Duration
 	// Parts are the ids of the shared parts.
 	Parts []string
 }
 
-// Unread returns the tokens that the endpoint must read for the work.
+// UncachedTokens returns the number of prompt tokens that the endpoint has to prefill.
 func (w *Work) Unread() int64 { return w.dispatch.Unread }
 
-// Dispatch returns what to tell other routers of the work.
+// Dispatch returns the information to send to other routers about the assignment.
 func (w *Work) Dispatch() Dispatch { return w.dispatch }
 
-// Work is one request at an endpoint, from its dispatch to its end.
+// Assignment is a request at an endpoint, from its dispatch to its end.
 type Work struct {
 	endpoint *Endpoint
 	dispatch Dispatch
-	// Prompt is the prompt's tokens; 0 for plain requests.
-	prompt int64
-	// Queued is what the endpoint had still to read before it, and place where the
-	// prompt ends in its queue.
-	queued, place time.Duration
-	// Donor is the endpoint to fetch kept parts from, or nil.
-	donor   *Endpoint
-	at      time.Time
-	predict time.Duration
-	started bool
-}
-
-// Predicted returns the time to the first event as predicted at the start.
-func (w *Work) Predicted() time.Duration { return w.predict }
-
-// Donor returns the endpoint from which this one should fetch what it keeps of the
+	// promptTokens is the length of the prompt; 0 for plain requests.
+	promptTokens int64
+	// queuedBefore is the prefill time queued ahead of the prompt at its dispatch, and
+	// queuePosition the prompt's end in the endpoint's queue; both are 0 for plain
+	// requests.
+	queuedBefore, queuePosition time.Duration
+	// cacheSource is the endpoint from which to fetch cached parts, or nil.
+	cacheSource         *Endpoint
+	dispatchedAt        time.Time
+	predictedFirstEvent time.Duration
+	started             bool
+}
+
+// PredictedFirstEvent returns the time to the first event as predicted at dispatch.
+func (w *Work) Predicted() time.Duration { return w.predictedFirstEvent }
+
+// CacheSource returns the endpoint from which this one should fetch cached parts of the
 // prompt, or nil.
-func (w *Work) Donor() *Endpoint { return w.donor }
+func (w *Work) Donor() *Endpoint { return w.cacheSource }
 
-// Endpoint returns where the work is.
+// Endpoint returns the endpoint that the request was assigned to.
 func (w *Work) Endpoint() *Endpoint { return w.endpoint }
 
-// First notes the first byte of the answer's body.
+// ObserveFirstByte records the arrival of the first byte of the answer's body and updates
+// the latency estimates with it.
 func (w *Work) First(now time.Time) {
 	if w.started {
 		return
@@ -400,54 +421,55 @@
 	e := w.endpoint
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	took := now.Sub(w.at)
-	if w.place > 0 {
-		e.queue.leave(now, w.place, true, e.paceNow(now))
-		e.learn(now, w, took)
+	took := now.Sub(w.dispatchedAt)
+	if w.queuePosition > 0 {
+		e.queue.remove(now, w.queuePosition, true, e.currentPrefillFactor(now))
+		e.learnPrefill(now, w, took)
 		return
 	}
-	slower := e.slowerNow(now)
-	e.slower = slower + time.Duration(slowerGain*float64(e.ordinary.LearnAnswer(took)-slower))
-	e.slowerAt = now
+	extra := e.currentExtraAnswerTime(now)
+	e.extraAnswerTime = extra + time.Duration(extraAnswerTimeGain*float64(e.model.ObserveAnswer(took)-extra))
+	e.extraAnswerTimeAt = now
 }
 
-// slowerNow is how much slower the endpoint is taken to be now.
-func (e *Endpoint) slowerNow(now time.Time) time.Duration {
-	return time.Duration(float64(e.slower) * faded(now.Sub(e.slowerAt)))
+// currentExtraAnswerTime returns the extra answer time, which decays towards 0 without new
+// measurements.
+func (e *Endpoint) currentExtraAnswerTime(now time.Time) time.Duration {
+	return time.Duration(float64(e.extraAnswerTime) * remainingWeight(now.Sub(e.extraAnswerTimeAt)))
 }
 
-// faded is what is left of a belief that nothing has shown for a time.
-func faded(age time.Duration) float64 {
-	return math.Exp(-max(age, 0).Seconds() / beliefFades.Seconds())
+// remainingWeight returns the weight of an estimate whose last measurement is that old.
+func remainingWeight(age time.Duration) float64 {
+	return math.Exp(-max(age, 0).Seconds() / estimateDecay.Seconds())
 }
 
-// learn takes in how long a prompt took, with what had to be read before it: of the
-// endpoint's pace, and, if it had nothing else to read, of all endpoints of the
-// service.
-func (e *Endpoint) learn(now time.Time, w *Work, took time.Duration) {
-	pace := e.paceNow(now)
-	if w.queued == 0 && pace < paceOrdinary && pace > 1/paceOrdinary {
-		e.ordinary.Learn(w.dispatch.Unread, w.prompt, took)
+// learnPrefill updates the endpoint's prefill factor with the time to the first event of a
+// prompt and of what was queued before it. If nothing was queued, it updates the latency
+// model of the service as well.
+func (e *Endpoint) learnPrefill(now time.Time, w *Work, took time.Duration) {
+	factor := e.currentPrefillFactor(now)
+	if w.queuedBefore == 0 && factor < typicalFactorLimit && factor > 1/typicalFactorLimit {
+		e.model.ObservePrefill(w.dispatch.Unread, w.promptTokens, took)
 	}
-	whole := w.queued + w.dispatch.Takes
-	if whole < paceLeast {
+	expected := w.queuedBefore + w.dispatch.Takes
+	if expected < minMeasuredPrefill {
 		return
 	}
-	shown := float64(max(took-e.ordinary.Base(), 0)) / float64(whole)
-	gain := paceGain * min(float64(whole)/float64(paceWhole), 1)
-	e.pace = pace + gain*(min(shown, paceMost)-pace)
-	e.paceAt = now
+	measured := float64(max(took-e.model.BaseLatency(), 0)) / float64(expected)
+	weight := prefillFactorGain * min(float64(expected)/float64(fullWeightPrefill), 1)
+	e.prefillFactor = factor + weight*(min(measured, maxPrefillFactor)-factor)
+	e.prefillFactorAt = now
 }
 
-// End notes that the request is over.
+// End records that the request is over. It must be called once.
 func (w *Work) End() {
 	e := w.endpoint
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
-	if !w.started && w.place > 0 {
+	if !w.started && w.queuePosition > 0 {
 		now := time.Now()
-		e.queue.leave(now, w.place, false, e.paceNow(now))
+		e.queue.remove(now, w.queuePosition, false, e.currentPrefillFactor(now))
 	}
 	w.started = true
 }
--- a/predictor/ordinary_test.go
+++ b/predictor/latency_model_test.go
@@ -10,8 +10,8 @@
 	"rattanhoist.example/rattanhoist/predictor"
 )
 
-// engine returns what reading takes at an engine that reads chunks of 1,024 tokens,
-// each beside a step, and attends to all tokens before.
+// engine returns the prefill time of an engine that prefills chunks of 1,024 tokens, each
+// in one step with the running requests, and whose tokens attend to all tokens before them.
 func engine(step time.Duration, perMS, pairsPerMS float64) func(unread, prompt int64) time.Duration {
 	return func(unread, prompt int64) time.Duration {
 		u, p := float64(unread), float64(prompt)
@@ -20,18 +20,19 @@
 	}
 }
 
-// Pattern: prompts of 1,000 to 50,000 tokens, some with their first part kept, at
-// engines of which one reads half as fast as another; a tenth of the answers is
-// late for other reasons. After 100 prompts the prediction must be within a tenth
-// for most: with one rate for all tokens, 27,000 were taken for 0.5 s that took 0.85.
-func TestReadingTimeIsLearned(t *testing.T) {
+// Guards against a model that ignores the quadratic cost of attention: with one rate for
+// all tokens, the prefill of 27,000 tokens was predicted to take 0.5 s and took 0.85 s. The
+// prompts have 1,000 to 50,000 tokens, some with their first part cached, at engines of
+// which one is half as fast as another. A tenth of the answers is late for other reasons.
+// After 100 prompts, most predictions must be within a tenth.
+func TestPrefillTimeIsLearned(t *testing.T) {
 	for name, truth := range map[string]func(int64, int64) time.Duration{
 		"fast": engine(3500*time.Microsecond, 65, 5e6), "slow": engine(6*time.Millisecond, 50, 2.7e6), "slower": engine(9*time.Millisecond, 30, 2e6),
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			x := rand.New(rand.NewPCG(1, 2))
-			r := predictor.NewOrdinary()
+			r := predictor.NewLatencyModel()
 			near := 0
 			for i := range 300 {
 				prompt := 1_000 + x.Int64N(1_000+x.Int64N(49_000))
@@ -40,34 +41,33 @@
 					unread = max(prompt-13_000, prompt/4)
 				}
 				want := truth(unread, prompt)
-				if off := (r.Base() + r.Read(unread, prompt) - want).Abs(); i >= 100 && off < want/10+10*time.Millisecond {
+				if off := (r.BaseLatency() + r.PrefillTime(unread, prompt) - want).Abs(); i >= 100 && off < want/10+10*time.Millisecond {
 					near++
 				}
 				if x.IntN(10) == 0 {
 					want += time.Duration(x.Int64N(int64(time.Second)))
 				}
-				r.Learn(unread, prompt, want)
+				r.ObservePrefill(unread, prompt, want)
 			}
 			g.Expect(near).To(gomega.BeNumerically(">", 180), "of 200")
 		})
 	}
 }
 
-// Pattern: for a while only short prompts come. What was learned of long ones must
-// not drift away meanwhile.
-func TestShortPromptsDoNotUnlearnLongOnes(t *testing.T) {
+// Guards against estimates for long prompts that drift while only short prompts come.
+func TestShortPromptsDoNotDegradeLongPromptEstimates(t *testing.T) {
 	g := gomega.NewWithT(t)
 	truth := engine(6*time.Millisecond, 50, 2.7e6)
 	x := rand.New(rand.NewPCG(1, 2))
-	r := predictor.NewOrdinary()
+	r := predictor.NewLatencyModel()
 	for range 100 {
 		n := 1_000 + x.Int64N(40_000)
-		r.Learn(n, n, truth(n, n))
+		r.ObservePrefill(n, n, truth(n, n))
 	}
 	for range 5_000 {
 		n := 100 + x.Int64N(500)
-		r.Learn(n, n, truth(n, n)+time.Duration(x.Int64N(int64(20*time.Millisecond))))
+		r.ObservePrefill(n, n, truth(n, n)+time.Duration(x.Int64N(int64(20*time.Millisecond))))
 	}
 	want := truth(30_000, 30_000)
-	g.Expect(r.Base() + r.Read(30_000, 30_000)).To(gomega.BeNumerically("~", want, want/5))
+	g.Expect(r.BaseLatency() + r.PrefillTime(30_000, 30_000)).To(gomega.BeNumerically("~", want, want/5))
 }
--- a/predictor/load_test.go
+++ b/predictor/load_test.go
@@ -9,8 +9,8 @@
 	"rattanhoist.example/rattanhoist/predictor"
 )
 
-// Pattern: endpoints that share their machines with other work, which slows some of them
-// down for a moment. Guards against reported loads that are decoded but not applied.
+// Guards against reported loads that are decoded but not applied. Endpoints that share
+// their machines with other work are slowed down at times.
 func TestReportedLoadIsAvoidedWhileItIsFresh(t *testing.T) {
 	for name, load := range map[string]predictor.Load{
 		"slots taken":    {Running: 64, Slots: 64},
--- a/predictor/plan.go
+++ b/predictor/plan.go
@@ -3,167 +3,178 @@
 import "time"
 
 const (
-	// slotCost is the time that each running request adds to the first event of others.
-	slotCost = 300 * time.Microsecond
-	// fullCost keeps requests from an endpoint whose slots are taken.
-	fullCost = 400 * time.Millisecond
-	// fetchLeast is the fewest tokens worth fetching from another endpoint: below it,
-	// reading takes a few steps.
-	fetchLeast = 1_000
-	// otherZoneCarry is how many times as long a fetch takes between zones.
-	otherZoneCarry = 2
-	// longRead is how long a prompt is read for it to do the same harm at one
-	// endpoint: at a slow one, prompts far from giant do.
-	longRead = 200 * time.Millisecond
-	// longHarm is what such a prompt costs for each request that runs beside it, whose
-	// events it delays.
-	longHarm = 25 * time.Millisecond
+	// perRequestDelay is the time that each running request adds to the first events of
+	// others.
+	perRequestDelay = 300 * time.Microsecond
+	// unavailablePenalty keeps requests away from an endpoint whose slots are all in use or
+	// that has to be probed.
+	unavailablePenalty = 400 * time.Millisecond
+	// minTransferTokens is the smallest number of cached tokens worth transferring from
+	// another endpoint: the prefill of fewer takes only a few engine steps.
+	minTransferTokens = 1_000
+	// crossZoneTransferFactor is the ratio of transfer times between zones to those within
+	// a zone.
+	crossZoneTransferFactor = 2
+	// longPrefill is the prefill time from which a prompt delays the requests beside it as
+	// much as a very long prompt does. At a slow endpoint, far shorter prompts than
+	// veryLongPromptTokens reach it.
+	longPrefill = 200 * time.Millisecond
+	// longPrefillPenalty is the cost of such a prompt for each request that runs beside it,
+	// whose events it delays.
+	longPrefillPenalty = 25 * time.Millisecond
 )
 
-// plan is how an endpoint would come by a prompt.
+// plan describes how a prompt would be prefilled at an endpoint.
 type plan struct {
 	endpoint *Endpoint
-	// Unread is the tokens that it must read.
-	unread int64
-	// Donor is the endpoint that it fetches kept parts from first, which takes the
-	// time carry; nil where it fetches nothing.
-	donor *Endpoint
-	carry time.Duration
+	// uncachedTokens is the number of tokens that the endpoint has to prefill itself.
+	uncachedTokens int64
+	// cacheSource is the endpoint from which cached parts are fetched first, which takes
+	// transferTime; nil if nothing is fetched.
+	cacheSource  *Endpoint
+	transferTime time.Duration
 }
 
-// keeper is an endpoint with the tokens of a prompt that it keeps.
-type keeper struct {
-	endpoint *Endpoint
-	kept     int64
+// cacheSource is an endpoint and the number of prompt tokens that can be fetched from it.
+type cacheSource struct {
+	endpoint     *Endpoint
+	cachedTokens int64
 }
 
-// donors returns for each zone the candidate that keeps most of a prompt and has
-// read it already.
-func donors(now time.Time, a Ask, candidates []*Endpoint, home *Endpoint) map[string]keeper {
+// findCacheSources returns, for each zone, the candidate from which the most tokens of a
+// prompt can be fetched.
+func findCacheSources(now time.Time, a Ask, candidates []*Endpoint, home *Endpoint) map[string]cacheSource {
 	if a.Carry <= 0 || a.Prompt == nil {
 		return nil
 	}
-	out := map[string]keeper{}
+	out := map[string]cacheSource{}
 	for _, e := range candidates {
-		if e.lost.Load() || e.gate.Ejected() || e.warmup.Restricted(now) {
+		if e.excluded.Load() || e.gate.Ejected() || e.warmup.Restricted(now) {
 			continue
 		}
-		if n := e.keeps(now, a, e == home); n >= fetchLeast && n > out[e.beat.Zone].kept {
-			out[e.beat.Zone] = keeper{e, n}
+		if n := e.fetchableTokens(now, a, e == home); n >= minTransferTokens && n > out[e.beat.Zone].cachedTokens {
+			out[e.beat.Zone] = cacheSource{e, n}
 		}
 	}
 	return out
 }
 
-// keeps returns how many tokens of a prompt another endpoint can fetch here.
-func (e *Endpoint) keeps(now time.Time, a Ask, home bool) int64 {
+// fetchableTokens returns the number of prompt tokens in the endpoint's cache that other
+// endpoints can fetch.
+func (e *Endpoint) fetchableTokens(now time.Time, a Ask, home bool) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.queue.left(now, e.paceNow(now)) > 0 {
-		// What was sent there last may not be read yet.
-		return e.finished(a.Prompt, a.Memory)
+	if e.queue.remaining(now, e.currentPrefillFactor(now)) > 0 {
+		// The prefill of recently dispatched prompts may not be complete.
+		return e.prefilledTokens(a.Prompt, a.Memory)
 	}
-	return a.Prompt.In - e.unread(a, home)
+	return a.Prompt.In - e.expectedUncachedTokens(a, home)
 }
 
-// planFor returns the fastest way for an endpoint to come by a prompt.
-func (e *Endpoint) planFor(a Ask, home bool, donors map[string]keeper) plan {
-	p := plan{endpoint: e, unread: e.unread(a, home)}
+// fastestPlan returns the plan with the shortest time for the prefill of a prompt,
+// including transfers from other endpoints.
+func (e *Endpoint) fastestPlan(a Ask, home bool, sources map[string]cacheSource) plan {
+	p := plan{endpoint: e, uncachedTokens: e.expectedUncachedTokens(a, home)}
 	if a.Prompt == nil {
 		return p
 	}
-	least := e.ordinary.Read(p.unread, a.Prompt.In)
-	kept := a.Prompt.In - p.unread
-	for zone, d := range donors {
-		gain := d.kept - kept
-		if d.endpoint == e || gain < fetchLeast {
+	shortest := e.model.PrefillTime(p.uncachedTokens, a.Prompt.In)
+	cached := a.Prompt.In - p.uncachedTokens
+	for zone, d := range sources {
+		fetched := d.cachedTokens - cached
+		if d.endpoint == e || fetched < minTransferTokens {
 			continue
 		}
-		carry := time.Duration(gain) * a.Carry
+		transferTime := time.Duration(fetched) * a.Carry
 		if zone != e.beat.Zone {
-			carry *= otherZoneCarry
+			transferTime *= crossZoneTransferFactor
 		}
-		unread := a.Prompt.In - d.kept
-		if takes := carry + e.ordinary.Read(unread, a.Prompt.In); takes < least {
-			least, p.unread, p.donor, p.carry = takes, unread, d.endpoint, carry
+		uncached := a.Prompt.In - d.cachedTokens
+		if total := transferTime + e.model.PrefillTime(uncached, a.Prompt.In); total < shortest {
+			shortest, p.uncachedTokens, p.cacheSource, p.transferTime = total, uncached, d.endpoint, transferTime
 		}
 	}
 	return p
 }
 
-// offer returns how the endpoint would come by a prompt, and the wait that it costs.
-func (e *Endpoint) offer(now time.Time, a Ask, home bool, donors map[string]keeper) (plan, time.Duration) {
+// evaluate returns the fastest plan for a request at the endpoint, and its cost.
+func (e *Endpoint) evaluate(now time.Time, a Ask, home bool, sources map[string]cacheSource) (plan, time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	p := e.planFor(a, home, donors)
+	p := e.fastestPlan(a, home, sources)
 	return p, e.cost(now, a, home, p)
 }
 
-// cost is the predicted wait for the first event, or for a plain answer.
+// cost is the predicted wait for the first event, or for a plain answer, plus penalties for
+// the effects on other requests.
 func (e *Endpoint) cost(now time.Time, a Ask, home bool, p plan) time.Duration {
-	busy := e.busy(now)
+	active := e.activeRequests(now)
 	if a.Prompt == nil {
 		slots := max(e.beat.Slots, 1)
-		c := scaled(e.ordinary.Answer(), e.slowdown(now)) + e.slowerNow(now) + time.Duration(float64(busy)/float64(slots)*float64(50*time.Millisecond))
-		if busy >= slots {
-			c += fullCost
+		c := scaled(e.model.MeanAnswer(), e.reportedSlowdown(now)) + e.currentExtraAnswerTime(now) + time.Duration(float64(active)/float64(slots)*float64(50*time.Millisecond))
+		if active >= slots {
+			c += unavailablePenalty
 		}
 		return c
 	}
-	c := scaled(e.waitFor(now, p, a.Prompt.In), e.slowdown(now))
+	c := scaled(e.predictFirstEvent(now, p, a.Prompt.In), e.reportedSlowdown(now))
 	if home {
-		c -= homeLoad
+		c -= homeBonus
 	}
-	if e.takes(now, p.unread, a.Prompt.In) > longRead {
-		c += time.Duration(busy) * longHarm
+	if e.prefillTime(now, p.uncachedTokens, a.Prompt.In) > longPrefill {
+		c += time.Duration(active) * longPrefillPenalty
 	}
-	if slots := e.beat.Slots; slots > 0 && busy >= slots {
-		c += fullCost
+	if slots := e.beat.Slots; slots > 0 && active >= slots {
+		c += unavailablePenalty
 	}
 	return c
 }
 
+// scaled multiplies a duration by a factor.
 func scaled(d time.Duration, x float64) time.Duration { return time.Duration(float64(d) * x) }
 
-// unread returns the tokens of a prompt that the endpoint must read by itself.
-// Where only some routers tell what they send, the home of its parts is taken to
-// keep them: what all routers send there together does not get old.
-func (e *Endpoint) unread(a Ask, home bool) int64 {
+// expectedUncachedTokens returns the number of prompt tokens that the endpoint has to
+// prefill unless it fetches them. If only some routers announce what they dispatch, the
+// home endpoint of the shared parts is assumed to have them cached: the combined requests
+// of all routers keep them in recent use.
+func (e *Endpoint) expectedUncachedTokens(a Ask, home bool) int64 {
 	if a.Prompt == nil {
 		return 0
 	}
 	if home && a.Partial {
-		return a.Prompt.own()
+		return a.Prompt.unsharedTokens()
 	}
-	return e.uncached(a.Prompt, a.Memory)
+	return e.uncachedTokens(a.Prompt, a.Memory)
 }
 
-// takes is how long the endpoint reads a prompt of which so many tokens are unread.
-func (e *Endpoint) takes(now time.Time, unread, prompt int64) time.Duration {
-	return time.Duration(float64(e.ordinary.Read(unread, prompt)) * e.paceNow(now))
+// prefillTime returns the predicted time for the prefill of uncached tokens of a prompt at
+// this endpoint.
+func (e *Endpoint) prefillTime(now time.Time, uncached, prompt int64) time.Duration {
+	return time.Duration(float64(e.model.PrefillTime(uncached, prompt)) * e.currentPrefillFactor(now))
 }
 
-// waitFor is the predicted wait for the first event of such a prompt.
-func (e *Endpoint) waitFor(now time.Time, p plan, prompt int64) time.Duration {
-	pace := e.paceNow(now)
-	queued := time.Duration(float64(e.queue.left(now, pace)) * pace)
-	return e.ordinary.Base() + max(queued, p.carry) + e.takes(now, p.unread, prompt) + time.Duration(e.busy(now))*slotCost
+// predictFirstEvent returns the predicted time to the first event of a prompt under a plan.
+func (e *Endpoint) predictFirstEvent(now time.Time, p plan, prompt int64) time.Duration {
+	factor := e.currentPrefillFactor(now)
+	queued := time.Duration(float64(e.queue.remaining(now, factor)) * factor)
+	return e.model.BaseLatency() + max(queued, p.transferTime) + e.prefillTime(now, p.uncachedTokens, prompt) + time.Duration(e.activeRequests(now))*perRequestDelay
 }
 
-func (e *Endpoint) begin(now time.Time, a Ask, p plan) *Work {
+// assign records the dispatch of a request to the endpoint under a plan.
+func (e *Endpoint) assign(now time.Time, a Ask, p plan) *Work {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w := &Work{endpoint: e, at: now}
+	w := &Work{endpoint: e, dispatchedAt: now}
 	e.running++
 	if a.Prompt == nil {
 		return w
 	}
-	w.prompt, w.donor = a.Prompt.In, p.donor
-	w.predict = e.waitFor(now, p, w.prompt)
-	w.dispatch = Dispatch{Unread: p.unread, Takes: e.ordinary.Read(p.unread, w.prompt), Parts: a.Prompt.SharedIDs()}
-	pace := e.paceNow(now)
-	w.queued = e.queue.left(now, pace)
-	w.place = e.queue.enter(now, w.dispatch.Takes, pace)
-	e.given(p.unread, w.place, w.dispatch.Parts)
+	w.promptTokens, w.cacheSource = a.Prompt.In, p.cacheSource
+	w.predictedFirstEvent = e.predictFirstEvent(now, p, w.promptTokens)
+	w.dispatch = Dispatch{Unread: p.uncachedTokens, Takes: e.model.PrefillTime(p.uncachedTokens, w.promptTokens), Parts: a.Prompt.SharedIDs()}
+	factor := e.currentPrefillFactor(now)
+	w.queuedBefore = e.queue.remaining(now, factor)
+	w.queuePosition = e.queue.addOwn(now, w.dispatch.Takes, factor)
+	e.recordPrefill(p.uncachedTokens, w.queuePosition, w.dispatch.Parts)
 	return w
 }
--- a/predictor/predictor_test.go
+++ b/predictor/predictor_test.go
@@ -17,6 +17,7 @@
 
 var start = time.Unix(1000, 0)
 
+// endpoints returns n endpoints in a zone.
 func endpoints(zone string, n int) []*predictor.Endpoint {
 	var out []*predictor.Endpoint
 	for i := range n {
@@ -25,24 +26,27 @@
 	return out
 }
 
+// table returns the table of a router in zone a with the given endpoints.
 func table(list ...*predictor.Endpoint) *predictor.Table {
 	t := predictor.NewTable("a")
 	t.Replace(map[string][]*predictor.Endpoint{"llm": list})
 	return t
 }
 
+// ask returns a request whose prompt has the given length and shared parts.
 func ask(tokens int64, parts ...predictor.Part) predictor.Ask {
 	parts = append(parts, predictor.Part{ID: "own", Tokens: tokens})
 	return predictor.Ask{Service: "llm", Prompt: &predictor.Prompt{In: tokens, Out: 100, Parts: parts}}
 }
 
-// told is a dispatch of another router, with what it learned at first.
-func told(unread int64, parts []string) predictor.Dispatch {
-	return predictor.Dispatch{Unread: unread, Takes: predictor.NewOrdinary().Read(unread, unread), Parts: parts}
+// remoteDispatch is a dispatch by another router whose model has the initial estimates.
+func remoteDispatch(uncached int64, parts []string) predictor.Dispatch {
+	return predictor.Dispatch{Unread: uncached, Takes: predictor.NewLatencyModel().PrefillTime(uncached, uncached), Parts: parts}
 }
 
 // Guards against requests to a rate limited endpoint beyond this router's share of the
-// limit, including as the home of shared parts, and against retries that are due too early.
+// limit, including those for which it is the home of shared parts, and against refused
+// callers that are told to retry too early.
 func TestRateLimitedEndpointGetsItsShareOnly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	list := endpoints("a", 2)
@@ -67,9 +71,9 @@
 	g.Expect(x.Choose(start.Add(2*time.Millisecond), shared).Endpoint()).To(gomega.BeIdenticalTo(list[0]), "the limit was removed")
 }
 
-// Guards against requests to an endpoint that is shedding load before its Retry-After period
-// has elapsed, and against a burst of requests afterwards instead of single probes at
-// intervals, preferably with repeatable requests.
+// Guards against requests to an endpoint that is shedding load before its Retry-After
+// period has elapsed, and against a burst of requests afterwards instead of single probes
+// at intervals, preferably with repeatable requests.
 func TestSheddingEndpointIsProbedAfterRetryAfter(t *testing.T) {
 	g := gomega.NewWithT(t)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -103,13 +107,13 @@
 	g.Expect(countSent(9620, plain)).To(gomega.BeNumerically(">", 3), "the endpoint stopped shedding load")
 }
 
-// Pattern: a long prompt was just sent to an endpoint, by this router or by
-// another. A short one must not wait behind it: at 60 tokens a millisecond,
-// 60,000 tokens take a second, and the others are idle.
+// Guards against short prompts that wait behind a long one that this router or another one
+// has just sent: at 60 tokens per millisecond, 60,000 tokens take a second, and the other
+// endpoint is idle.
 func TestShortPromptsKeepAwayFromLongOnes(t *testing.T) {
 	for name, send := range map[string]func(*predictor.Table, *predictor.Endpoint){
 		"own":   func(t *predictor.Table, _ *predictor.Endpoint) { t.Choose(start, ask(60_000)) },
-		"other": func(t *predictor.Table, e *predictor.Endpoint) { t.Sent(start, e.Name(), told(60_000, nil)) },
+		"other": func(t *predictor.Table, e *predictor.Endpoint) { t.Sent(start, e.Name(), remoteDispatch(60_000, nil)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -126,9 +130,9 @@
 	}
 }
 
-// Pattern: an endpoint reads far slower than it was taken to. Time alone must
-// not empty its queue while a prompt of ours there has no first event.
-func TestQueueDoesNotDrainPastAnUnreadPrompt(t *testing.T) {
+// Guards against a queue that empties with time alone while a prompt of this router has no
+// first event, as at an endpoint that is far slower than predicted.
+func TestQueueDoesNotAdvancePastAPromptWithoutFirstEvent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := table(endpoints("a", 1)...)
 	x.Choose(start, ask(60_000))
@@ -137,7 +141,7 @@
 	g.Expect(x.Choose(late, ask(100)).Predicted()).To(gomega.BeNumerically(">", time.Second))
 }
 
-// Pattern: a first event shows that all before its prompt was read.
+// The first event of a prompt shows that all prompts before it have been prefilled.
 func TestFirstEventEmptiesTheQueueBeforeIt(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := table(endpoints("a", 1)...)
@@ -147,8 +151,8 @@
 	g.Expect(x.Choose(start.Add(21*time.Millisecond), ask(100)).Predicted()).To(gomega.BeNumerically("<", 200*time.Millisecond))
 }
 
-// Pattern: requests share a part of 5,000 tokens. Routers that know nothing of
-// each other send them to the same endpoint of the zone.
+// Routers that have no information about each other must send requests that share a part of
+// 5,000 tokens to the same endpoint of the zone.
 func TestRoutersAgreeOnTheHomeOfASharedPart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for part := range 20 {
@@ -162,15 +166,18 @@
 	}
 }
 
+// A request goes to another zone only if the predicted wait there is shorter by more than
+// the cross-zone penalty.
 func TestOtherZoneOnlyWhereItWins(t *testing.T) {
 	g := gomega.NewWithT(t)
 	near, far := endpoints("a", 1)[0], endpoints("b", 1)[0]
 	x := table(near, far)
 	g.Expect(x.Choose(start, ask(800)).Endpoint()).To(gomega.BeIdenticalTo(near))
-	x.Sent(start, near.Name(), told(30_000, nil))
+	x.Sent(start, near.Name(), remoteDispatch(30_000, nil))
 	g.Expect(x.Choose(start, ask(800)).Endpoint()).To(gomega.BeIdenticalTo(far))
 }
 
+// An endpoint that a request was sent to already must not be chosen again.
 func TestTriedEndpointsAreLeftOut(t *testing.T) {
 	g := gomega.NewWithT(t)
 	list := endpoints("a", 2)
@@ -182,31 +189,30 @@
 	g.Expect(x.Choose(start, a)).To(gomega.BeNil())
 }
 
-// Symptom: work for an endpoint that started again is reckoned with what its
-// life before held and had to do. Sequence: it crashes with a second of prompts
-// to read, and starts again under its id. Cause: the id taken for the
-// incarnation.
-func TestAnEndpointThatStartedAgainBeginsAnew(t *testing.T) {
+// Guards against an endpoint id that is mistaken for an incarnation. An endpoint crashes
+// with a second of prompts in its queue and restarts under the same id: the cache and the
+// queue of the previous incarnation must not count for the new one.
+func TestRestartedEndpointStartsWithoutHistory(t *testing.T) {
 	g := gomega.NewWithT(t)
 	old := predictor.NewEndpoint(enroller.Beat{Incarnation: enroller.Incarnation{ID: "a0", BornMS: 1}, Service: "llm", Zone: "a", Slots: 64})
 	next := predictor.NewEndpoint(enroller.Beat{Incarnation: enroller.Incarnation{ID: "a0", BornMS: 2}, Service: "llm", Zone: "a", Slots: 64})
 	x := table(old)
-	x.Sent(start, old.Name(), told(60_000, nil))
+	x.Sent(start, old.Name(), remoteDispatch(60_000, nil))
 	x.Replace(map[string][]*predictor.Endpoint{"llm": {next}})
-	x.Sent(start, old.Name(), told(60_000, nil))
+	x.Sent(start, old.Name(), remoteDispatch(60_000, nil))
 	a := ask(800)
 	a.Tried = []enroller.Incarnation{old.Beat().Incarnation}
 	w := x.Choose(start, a)
-	g.Expect(w).NotTo(gomega.BeNil(), "the life before was tried, this one was not")
+	g.Expect(w).NotTo(gomega.BeNil(), "the previous incarnation was tried, this one was not")
 	g.Expect(w.Predicted()).To(gomega.BeNumerically("<", 200*time.Millisecond))
 }
 
-// Pattern: the home of a part of 13,000 tokens was busy, and another router sent a
-// request about it elsewhere. The next one, from this router, must find the part
-// there while the home is busy still: read again it takes an engine a quarter of a
-// second, and on days of 40,000 requests a quarter of all that was read had been
-// read before.
-func TestPartsThatOtherRoutersSentAreFound(t *testing.T) {
+// Guards against ignoring the dispatches of other routers. The home of a part of 13,000
+// tokens was busy, and another router sent a request with that part elsewhere. While the
+// home is still busy, the next request with the part must go to that endpoint: prefilling
+// it again takes an engine a quarter of a second, and on days of 40,000 requests a quarter
+// of all prefilled tokens had been prefilled before.
+func TestPartsDispatchedByOtherRoutersAreFound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	part := predictor.Part{ID: "p", Tokens: 13_000}
 	list := endpoints("a", 6)
@@ -216,16 +222,17 @@
 	if other == home {
 		other = list[1]
 	}
-	x.Sent(start, home.Name(), told(60_000, nil))
-	x.Sent(start, other.Name(), told(17_000, []string{"p"}))
+	x.Sent(start, home.Name(), remoteDispatch(60_000, nil))
+	x.Sent(start, other.Name(), remoteDispatch(17_000, []string{"p"}))
 	w := x.Choose(start.Add(400*time.Millisecond), ask(17_000, part))
 	g.Expect(w.Endpoint()).To(gomega.BeIdenticalTo(other))
 	g.Expect(w.Unread()).To(gomega.Equal(int64(4_000)))
 }
 
-// Pattern: an endpoint has read half of what its memory holds since a part was
-// last used there. The part has yielded, and counts as unread again.
-func TestPartsYieldToWhatIsReadLater(t *testing.T) {
+// Guards against parts that count as cached after their eviction. Once an endpoint has
+// prefilled half of its cache size since the last use of a part, the part has to be
+// prefilled again.
+func TestPartsAreEvictedByLaterPrefill(t *testing.T) {
 	g := gomega.NewWithT(t)
 	part := predictor.Part{ID: "p", Tokens: 13_000}
 	list := endpoints("a", 1)
@@ -238,16 +245,16 @@
 		defer w.End()
 		return w.Unread()
 	}
-	x.Sent(start, list[0].Name(), told(150_000, []string{"q"}))
+	x.Sent(start, list[0].Name(), remoteDispatch(150_000, []string{"q"}))
 	g.Expect(unread()).To(gomega.Equal(int64(4_000)))
-	x.Sent(start, list[0].Name(), told(250_000, []string{"r"}))
+	x.Sent(start, list[0].Name(), remoteDispatch(250_000, []string{"r"}))
 	g.Expect(unread()).To(gomega.Equal(int64(17_000)))
 }
 
-// Symptom: the first request to an endpoint is expected before it was sent, and work
-// piles up there. Sequence: the endpoint has read nothing so far. Cause: the time since then,
-// as a float, is more than a duration holds.
-func TestAnEndpointThatNeverReadAnythingHasNothingToRead(t *testing.T) {
+// Guards against an integer overflow at endpoints that have not prefilled anything yet: the
+// time since the zero time, as a float, exceeds the range of time.Duration. The first event
+// was predicted to come before the request was sent, and requests piled up there.
+func TestNewEndpointHasAnEmptyQueue(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := table(endpoints("a", 1)...)
 	for i := range 20 {
@@ -259,11 +266,11 @@
 	}
 }
 
-// Pattern: a part of 13,000 tokens is kept by one endpoint, which has a second of
-// other prompts to read. Another one fetches the part at 4.8 microseconds a token,
-// 62 ms, instead of reading it for 0.35 s; from another zone that takes twice as
-// long. What is still to be read where it is kept can't be fetched yet.
-func TestKeptPartsAreFetchedFromABusyEndpoint(t *testing.T) {
+// Guards against prefilling a part that can be fetched from the cache of a busy endpoint.
+// Transferring 13,000 tokens at 4.8 microseconds each takes 62 ms, twice as long from
+// another zone, and prefilling them 0.35 s. A part whose own prefill is not complete can't
+// be fetched yet.
+func TestCachedPartsAreFetchedFromABusyEndpoint(t *testing.T) {
 	part := predictor.Part{ID: "p", Tokens: 13_000}
 	a := ask(15_000, part)
 	a.Carry = 4800 * time.Nanosecond
@@ -281,9 +288,9 @@
 			g := gomega.NewWithT(t)
 			keeps, other := endpoints(c.zone, 2)[1], endpoints("a", 1)[0]
 			x := table(keeps, other)
-			x.Sent(start, keeps.Name(), told(15_000, []string{"p"}))
+			x.Sent(start, keeps.Name(), remoteDispatch(15_000, []string{"p"}))
 			now := start.Add(c.after)
-			x.Sent(now, keeps.Name(), told(35_000, nil))
+			x.Sent(now, keeps.Name(), remoteDispatch(35_000, nil))
 			w := x.Choose(now, a)
 			g.Expect(w.Endpoint()).To(gomega.BeIdenticalTo(other))
 			g.Expect(w.Donor() != nil).To(gomega.Equal(c.fetched))
@@ -296,9 +303,9 @@
 	}
 }
 
-// Pattern: a router has just started, and its engines keep parts from before. What
-// they tell is found; of a part that is kept only in part nothing is.
-func TestWhatAnEndpointSaysThatItKeepsIsFound(t *testing.T) {
+// Guards against ignoring the cached parts that endpoints report to a router that has just
+// started. A part of which only some tokens are cached counts as not cached.
+func TestReportedCachedPartsAreFound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	list := endpoints("a", 1)
 	x := table(list...)
@@ -309,9 +316,9 @@
 	g.Expect(w.Unread()).To(gomega.Equal(int64(17_000)))
 }
 
-// playPlain sends n plain requests, one after each pause, each answered in the time that
-// took names, and returns how many stayed in zone a.
-func playPlain(x *predictor.Table, from time.Time, n int, pause time.Duration, took func(i int, zone string) time.Duration) (near int) {
+// sendPlain sends n plain requests, one after each pause. The answer to request i takes the
+// time returned by took. sendPlain returns how many requests stayed in zone a.
+func sendPlain(x *predictor.Table, from time.Time, n int, pause time.Duration, took func(i int, zone string) time.Duration) (near int) {
 	for i := range n {
 		now := from.Add(time.Duration(i) * pause)
 		w := x.Choose(now, predictor.Ask{Service: "llm"})
@@ -325,15 +332,15 @@
 	return near
 }
 
-// Pattern: plain requests of 60 ms, one in twenty of 400 ms, at one endpoint in each
-// of three zones. They should stay in their zone: with an average for each endpoint
-// that only its own answers move, one late answer sent half of all requests to another
-// zone for the rest of the day.
+// Guards against averages per endpoint that only the endpoint's own answers update: one
+// late answer sent half of all requests to another zone for the rest of the day. One in
+// twenty answers takes 400 ms, the others about 60 ms, at one endpoint in each of three
+// zones. Requests should stay in their zone.
 func TestPlainRequestsStayInTheirZone(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := table(endpoints("a", 1)[0], endpoints("b", 1)[0], endpoints("c", 1)[0])
 	r := rand.New(rand.NewPCG(1, 2))
-	near := playPlain(x, start, 1000, 150*time.Millisecond, func(i int, _ string) time.Duration {
+	near := sendPlain(x, start, 1000, 150*time.Millisecond, func(i int, _ string) time.Duration {
 		took := time.Duration(30+r.IntN(60)) * time.Millisecond
 		if i%20 == 0 {
 			return 400 * time.Millisecond
@@ -343,13 +350,13 @@
 	g.Expect(near).To(gomega.BeNumerically(">", 970))
 }
 
-// Pattern: as before, with one answer in a hundred that takes two seconds, as where an
-// answer is lost and another follows. One such answer sent the next eighty requests to
-// another zone.
-func TestOneVeryLateAnswerSendsNobodyAway(t *testing.T) {
+// Guards against a single very late answer, as after a lost one that is followed by
+// another, that sends requests to another zone. One answer in a hundred takes two seconds;
+// one such answer sent the next eighty requests away.
+func TestOneVeryLateAnswerDoesNotMoveRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := table(endpoints("a", 1)[0], endpoints("b", 1)[0], endpoints("c", 1)[0])
-	near := playPlain(x, start, 1000, 150*time.Millisecond, func(i int, _ string) time.Duration {
+	near := sendPlain(x, start, 1000, 150*time.Millisecond, func(i int, _ string) time.Duration {
 		if i%100 == 50 {
 			return 2 * time.Second
 		}
@@ -358,14 +365,14 @@
 	g.Expect(near).To(gomega.BeNumerically(">", 970))
 }
 
-// Pattern: the endpoint of the zone has become eight times as slow. Plain requests
-// leave it, and come back some time after it is well.
+// Plain requests must leave an endpoint that has become eight times as slow, and return
+// some time after it has recovered.
 func TestPlainRequestsLeaveASlowEndpoint(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := table(endpoints("a", 1)[0], endpoints("b", 1)[0])
 	const pause = 100 * time.Millisecond
 	played := func(from, n int, slow time.Duration) int {
-		return playPlain(x, start.Add(time.Duration(from)*pause), n, pause, func(_ int, zone string) time.Duration {
+		return sendPlain(x, start.Add(time.Duration(from)*pause), n, pause, func(_ int, zone string) time.Duration {
 			if zone == "a" {
 				return slow
 			}
@@ -378,9 +385,9 @@
 	g.Expect(played(400, 100, 60*time.Millisecond)).To(gomega.BeNumerically(">", 90))
 }
 
-// Symptom: an endpoint that is well gets no work for the rest of the day. Sequence: it
-// fails three times in a row and is ejected; a second later it is well; other endpoints
-// are there. Cause: one that needs a probe costs more than any other, so it gets none.
+// Guards against a healthy endpoint that gets no requests for the rest of the day. It fails
+// three times in a row, is ejected and recovers a second later. While an endpoint that
+// needs a probe cost more than any other, it never got one.
 func TestAnEjectedEndpointIsProbed(t *testing.T) {
 	for name, c := range map[string]struct {
 		repeatable bool
@@ -407,7 +414,8 @@
 	}
 }
 
-// Guards against a home or a donor of shared parts outside the zones of a request.
+// Guards against home endpoints and cache sources of shared parts outside the zones of a
+// request.
 func TestSharedPartsStayInTheZonesOfARequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a := ask(50_100, predictor.Part{ID: "p", Tokens: 50_000})
@@ -419,20 +427,20 @@
 		return table(in, out).Choose(start, a), in, out
 	}
 	w, _, out := choose(nil)
-	g.Expect(w.Endpoint() == out || w.Donor() == out).To(gomega.BeTrue(), "what it keeps is worth going there")
+	g.Expect(w.Endpoint() == out || w.Donor() == out).To(gomega.BeTrue(), "its cached parts outweigh the penalty of the other zone")
 	w, in, _ := choose(localizer.New(map[string]string{"a": "north", "b": "south"}).Within([]string{"north"}))
 	g.Expect(w.Endpoint()).To(gomega.Equal(in))
 	g.Expect(w.Donor()).To(gomega.BeNil())
 	g.Expect(w.Unread()).To(gomega.Equal(int64(50_100)))
 }
 
-// Pattern: an endpoint comes back cold, empty and fast, beside one with a long queue, and
-// a burst of prompts arrives. Guards against all of them going to the cold one.
+// Guards against a burst of prompts that all go to an endpoint that has just returned cold,
+// because its queue is empty, rather than to one with a long queue.
 func TestABurstDoesNotGoToAColdEndpoint(t *testing.T) {
 	g := gomega.NewWithT(t)
 	cold, busy := endpoints("a", 1)[0], endpoints("b", 1)[0]
 	x := table(cold, busy)
-	busy.Sent(start, told(60_000, nil))
+	busy.Sent(start, remoteDispatch(60_000, nil))
 	cold.Warmup().Set(start, start.Add(3*time.Second), warmer.Share{Rate: 2, Burst: 1}, start.Add(time.Minute))
 	at := map[*predictor.Endpoint]int{}
 	for i := range 100 {
--- a/predictor/queue.go
+++ b/predictor/queue.go
@@ -5,60 +5,61 @@
 	"time"
 )
 
-// queue is the prompts that an endpoint has still to read, as the time that this
-// takes an ordinary endpoint, in the order in which they were sent there, by this
-// router and, as far as it heard, by the others. Between events it drains at the
-// endpoint's pace; a first event shows that all before its prompt was read, and a
-// prompt without one that it was not.
+// queue models the prompts waiting for prefill at an endpoint, in the order in which they
+// were sent there by this router and, as far as it was told, by other routers. Its unit is
+// the prefill time of a typical endpoint. Between events it advances at the endpoint's own
+// speed. The first event of a prompt shows that all prompts before it have been prefilled;
+// a prompt of this router without a first event counts as not prefilled.
 type queue struct {
-	// Added is all that was ever sent, read what was read of it.
-	added, read time.Duration
-	at          time.Time
-	// Open holds where the prompts of this router end that have no first event
-	// yet, in order.
-	open []time.Duration
+	// enqueued is the total of all prompts ever added, processed the part of it that has
+	// been prefilled.
+	enqueued, processed time.Duration
+	updatedAt           time.Time
+	// pending holds, in order, the end positions of this router's prompts that have no
+	// first event yet.
+	pending []time.Duration
 }
 
-// drain moves time on, at an endpoint that takes pace times as long as an ordinary
-// one.
-func (q *queue) drain(now time.Time, pace float64) {
-	if gone := now.Sub(q.at); gone > 0 {
-		// Compared before the conversion: the time since the zero time, as a float, is
-		// more than a duration holds.
-		q.read += time.Duration(min(float64(gone)/pace, float64(q.added-q.read)))
-		q.at = now
+// advance moves the queue forward to the present, at an endpoint with the given prefill
+// factor.
+func (q *queue) advance(now time.Time, prefillFactor float64) {
+	if elapsed := now.Sub(q.updatedAt); elapsed > 0 {
+		// The minimum is taken before the conversion: the time since the zero time, divided
+		// as a float, may exceed the range of time.Duration.
+		q.processed += time.Duration(min(float64(elapsed)/prefillFactor, float64(q.enqueued-q.processed)))
+		q.updatedAt = now
 	}
-	if len(q.open) > 0 {
-		q.read = min(q.read, q.open[0]-1)
+	if len(q.pending) > 0 {
+		q.processed = min(q.processed, q.pending[0]-1)
 	}
 }
 
-// add puts a prompt at the end and returns where it ends.
-func (q *queue) add(now time.Time, takes time.Duration, pace float64) time.Duration {
-	q.drain(now, pace)
-	q.added += max(takes, 1)
-	return q.added
+// add appends a prompt and returns its end position.
+func (q *queue) add(now time.Time, prefillTime time.Duration, prefillFactor float64) time.Duration {
+	q.advance(now, prefillFactor)
+	q.enqueued += max(prefillTime, 1)
+	return q.enqueued
 }
 
-// enter adds a prompt of this router.
-func (q *queue) enter(now time.Time, takes time.Duration, pace float64) time.Duration {
-	place := q.add(now, takes, pace)
-	q.open = append(q.open, place)
-	return place
+// addOwn appends a prompt of this router and returns its end position.
+func (q *queue) addOwn(now time.Time, prefillTime time.Duration, prefillFactor float64) time.Duration {
+	position := q.add(now, prefillTime, prefillFactor)
+	q.pending = append(q.pending, position)
+	return position
 }
 
-// leave takes a prompt of this router out; read says that it was read, and so
-// were those before it.
-func (q *queue) leave(now time.Time, place time.Duration, read bool, pace float64) {
-	q.open = slices.DeleteFunc(q.open, func(p time.Duration) bool { return p == place || read && p < place })
-	q.drain(now, pace)
-	if read {
-		q.read = max(q.read, min(place, q.added))
+// remove removes a prompt of this router. If prefilled is set, that prompt and all before
+// it have been prefilled.
+func (q *queue) remove(now time.Time, position time.Duration, prefilled bool, prefillFactor float64) {
+	q.pending = slices.DeleteFunc(q.pending, func(p time.Duration) bool { return p == position || prefilled && p < position })
+	q.advance(now, prefillFactor)
+	if prefilled {
+		q.processed = max(q.processed, min(position, q.enqueued))
 	}
 }
 
-// left returns what is still to be read.
-func (q *queue) left(now time.Time, pace float64) time.Duration {
-	q.drain(now, pace)
-	return q.added - q.read
+// remaining returns the prefill time still in the queue.
+func (q *queue) remaining(now time.Time, prefillFactor float64) time.Duration {
+	q.advance(now, prefillFactor)
+	return q.enqueued - q.processed
 }
--- a/predictor/ring.go
+++ b/predictor/ring.go
@@ -15,19 +15,21 @@
 // steps logarithmic in the number of endpoints, and a change of endpoints moves few keys.
 // It is immutable.
 type ring struct {
-	// Points is ordered by hash.
+	// points is ordered by hash.
 	points []ringPoint
 }
 
+// ringPoint is the position of an endpoint on the ring.
 type ringPoint struct {
 	hash     uint64
 	endpoint *Endpoint
 }
 
+// newRing returns a ring with the given endpoints.
 func newRing(list []*Endpoint) *ring {
 	r := &ring{points: make([]ringPoint, len(list))}
 	for i, e := range list {
-		r.points[i] = ringPoint{hash: weight("", e.beat.ID), endpoint: e}
+		r.points[i] = ringPoint{hash: hashPair("", e.beat.ID), endpoint: e}
 	}
 	slices.SortFunc(r.points, func(a, b ringPoint) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.endpoint.beat.ID, b.endpoint.beat.ID))
@@ -40,13 +42,13 @@
 	if len(r.points) == 0 {
 		return nil
 	}
-	best, least := 0, ^uint64(0)
+	best, shortest := 0, ^uint64(0)
 	for i := range ringProbes {
-		probe := weight(key, strconv.Itoa(i))
+		probe := hashPair(key, strconv.Itoa(i))
 		at := sort.Search(len(r.points), func(n int) bool { return r.points[n].hash >= probe }) % len(r.points)
 		// Unsigned subtraction wraps around like the ring.
-		if d := r.points[at].hash - probe; d < least {
-			best, least = at, d
+		if d := r.points[at].hash - probe; d < shortest {
+			best, shortest = at, d
 		}
 	}
 	for i := range r.points {
--- a/predictor/table.go
+++ b/predictor/table.go
@@ -12,68 +12,72 @@
 )
 
 const (
-	// crossZonePenalty is the cost of dispatching to another availability zone, in
-	// queueing time: bodies and streams cross a link that may drop packets.
+	// crossZonePenalty is the cost, in units of predicted wait, of sending a prompt to
+	// another availability zone: bodies and streams cross a link that may drop packets.
 	crossZonePenalty = 30 * time.Millisecond
-	// crossZonePlainPenalty is the same for plain requests, which find no prefix there.
+	// crossZonePlainPenalty is the same for plain requests, which gain nothing from cached
+	// prompts there.
 	crossZonePlainPenalty = 60 * time.Millisecond
-	// probeOverdue is how long a probe is left to requests that may be repeated.
+	// probeOverdue is the time for which a due probe is reserved for repeatable requests.
 	probeOverdue = 5 * time.Second
 )
 
-// Table holds the endpoints in service; it is replaced as a whole.
+// Table holds the endpoints in service. Readers see a snapshot, which Replace replaces as a
+// whole.
 type Table struct {
 	zone      string
 	byService atomic.Pointer[map[string]*group]
-	// ByName holds the same endpoints by incarnation, as text.
+	// byName maps incarnations in text form to the same endpoints.
 	byName atomic.Pointer[map[string]*Endpoint]
-	// Ordinary holds what was learned of each service's endpoints; it belongs to
-	// Replace.
-	ordinary map[string]*Ordinary
+	// models holds the latency model of each service; only Replace accesses it.
+	models map[string]*LatencyModel
 }
 
-// group is the endpoints of one service, as a router of a zone sees them; immutable.
+// group holds the endpoints of one service as seen by a router of a zone. It is immutable
+// apart from the cache of its subsets.
 type group struct {
 	zone      string
 	endpoints []*Endpoint
-	// Near are the endpoints of the router's zone, far all others.
-	near, far []*Endpoint
-	// Apart holds for each zone the endpoints where its giants go, nearApart those of the
-	// router's zone.
-	apart     map[*Endpoint]bool
-	nearApart []*Endpoint
-	// Homes finds the homes of shared parts in large groups; nil in small ones.
-	homes *ring
-	// Subsets holds a *group for each set of zones that was asked for, by its key.
+	// local holds the endpoints of the router's zone, remote all others.
+	local, remote []*Endpoint
+	// dedicated holds the endpoints of all zones that are dedicated to very long prompts,
+	// localDedicated those of the router's zone.
+	dedicated      map[*Endpoint]bool
+	localDedicated []*Endpoint
+	// homeRing maps shared parts to their home endpoints in large groups; nil in small
+	// ones.
+	homeRing *ring
+	// subsets caches the *group for each set of zones that was requested, by its key.
 	subsets sync.Map
 }
 
+// newGroup returns the group of the given endpoints for a router of a zone.
 func newGroup(list []*Endpoint, zone string) *group {
-	g := &group{zone: zone, endpoints: list, apart: apart(list)}
+	g := &group{zone: zone, endpoints: list, dedicated: selectDedicated(list)}
 	for _, e := range list {
 		switch {
 		case e.beat.Zone != zone:
-			g.far = append(g.far, e)
+			g.remote = append(g.remote, e)
 			continue
-		case g.apart[e]:
-			g.nearApart = append(g.nearApart, e)
+		case g.dedicated[e]:
+			g.localDedicated = append(g.localDedicated, e)
 		}
-		g.near = append(g.near, e)
+		g.local = append(g.local, e)
 	}
 	if len(list) > maxExhaustive {
-		// Routers of a zone know the same endpoints of their own zone only.
-		homes := g.near
+		// Only the endpoints of the own zone are known equally to all routers of the zone.
+		homes := g.local
 		if len(homes) == 0 {
 			homes = list
 		}
-		g.homes = newRing(homes)
+		g.homeRing = newRing(homes)
 	}
 	return g
 }
 
-// within returns the endpoints in some zones. Whatever is chosen from it, a home of
-// shared parts or a donor too, is in those zones.
-func (g *group) within(z *localizer.Zones) *group {
+// inZones returns the group of the endpoints in the given zones. Home endpoints and cache
+// sources are chosen from the same group, so they are in those zones as well.
+func (g *group) inZones(z *localizer.Zones) *group {
 	if z == nil {
 		return g
 	}
@@ -92,22 +96,22 @@
 
 // NewTable returns an empty table for a router in zone.
 func NewTable(zone string) *Table {
-	t := &Table{zone: zone, ordinary: map[string]*Ordinary{}}
+	t := &Table{zone: zone, models: map[string]*LatencyModel{}}
 	t.Replace(nil)
 	return t
 }
 
-// Replace puts other endpoints in service.
+// Replace replaces the endpoints in service.
 func (t *Table) Replace(byService map[string][]*Endpoint) {
 	groups, names := map[string]*group{}, map[string]*Endpoint{}
 	for s, list := range byService {
 		groups[s] = newGroup(list, t.zone)
-		if t.ordinary[s] == nil {
-			t.ordinary[s] = NewOrdinary()
+		if t.models[s] == nil {
+			t.models[s] = NewLatencyModel()
 		}
 		for _, e := range list {
 			names[e.name] = e
-			e.serve(t.ordinary[s])
+			e.putInService(t.models[s])
 		}
 	}
 	t.byService.Store(&groups)
@@ -117,7 +121,7 @@
 // Endpoint returns the endpoint with the given name, or nil if none is in service.
 func (t *Table) Endpoint(name string) *Endpoint { return (*t.byName.Load())[name] }
 
-// Endpoints returns the endpoints of a service; callers must not change it.
+// Endpoints returns the endpoints of a service. Callers must not modify the slice.
 func (t *Table) Endpoints(service string) []*Endpoint {
 	if g := (*t.byService.Load())[service]; g != nil {
 		return g.endpoints
@@ -125,78 +129,83 @@
 	return nil
 }
 
-// Sent notes a prompt that another router sent to an endpoint, which is named
-// by its incarnation.
+// RecordDispatch records a prompt that another router sent to the endpoint with the given
+// incarnation name.
 func (t *Table) Sent(now time.Time, name string, d Dispatch) {
 	if e := (*t.byName.Load())[name]; e != nil {
 		e.Sent(now, d)
 	}
 }
 
-// Ask describes a request that needs an endpoint.
+// Request describes a request for which an endpoint is to be chosen.
 type Ask struct {
 	Service string
-	// Zones is where the request may be served; nil for everywhere.
+	// Zones holds the zones in which the request may be served; nil stands for all.
 	Zones *localizer.Zones
 	// Prompt is nil for plain requests.
 	Prompt *Prompt
-	// Tried holds the incarnations that the request was sent to already.
+	// Tried holds the incarnations that must not be chosen, for example because the request
+	// was sent there already.
 	Tried []enroller.Incarnation
-	// Memory is what an endpoint of the service keeps, in tokens; 0 where unknown.
+	// CacheTokens is the cache size of the service's endpoints in tokens; 0 if unknown.
 	Memory int64
-	// Carry is how long it takes two endpoints of a zone to pass on what one keeps of
-	// one token; 0 where they can't.
+	// TransferPerToken is the time to transfer one cached token between two endpoints of a
+	// zone; 0 if they can't transfer any.
 	Carry time.Duration
-	// Partial says that only some of the other routers tell this one what they send.
+	// PartialDispatches is set if only some of the other routers tell this one about their
+	// dispatches.
 	Partial bool
-	// Repeatable says that the request may go to another endpoint if this one fails.
+	// Repeatable is set if the request may be sent to another endpoint when this attempt
+	// fails.
 	Repeatable bool
-	// Since counts from any fixed instant, for the gates.
+	// Elapsed is the time since a fixed instant, on the clock of the endpoints' failure
+	// gates.
 	Since time.Duration
 }
 
-// Choose returns work at the endpoint with the shortest predicted wait, or nil
-// where none is in service. The work must be ended.
+// Choose assigns a request to the endpoint with the lowest cost, which is mostly the
+// predicted wait. It returns nil if no endpoint is available. The caller must end the
+// assignment.
 func (t *Table) Choose(now time.Time, a Ask) *Work {
 	g := (*t.byService.Load())[a.Service]
 	if g == nil {
 		return nil
 	}
-	g = g.within(a.Zones)
+	g = g.inZones(a.Zones)
 	for {
 		home := g.home(now, a)
 		candidates := g.candidates(a, home)
-		best, ok := t.best(now, a, g, candidates, home, false)
+		best, ok := t.cheapest(now, a, g, candidates, home, false)
 		if !ok && len(candidates) < len(g.endpoints) {
-			best, ok = t.best(now, a, g, g.endpoints, home, false)
+			best, ok = t.cheapest(now, a, g, g.endpoints, home, false)
 		}
 		if !ok {
-			// Every endpoint is blocked: one that failed may have recovered, and
-			// an error costs no more than a refusal.
-			best, ok = t.best(now, a, g, g.endpoints, home, true)
+			// Endpoints that are blocked after failures may have recovered, and an error
+			// costs no more than a refusal.
+			best, ok = t.cheapest(now, a, g, g.endpoints, home, true)
 		}
 		if !ok {
 			return nil
 		}
-		// Another request may have taken what a cold endpoint still got.
+		// A concurrent request may have used up what the endpoint still accepts.
 		if best.endpoint.warmup.Admit(now) {
-			return best.endpoint.begin(now, a, best)
+			return best.endpoint.assign(now, a, best)
 		}
 	}
 }
 
-// RetryAfter returns the shortest time until an endpoint may be sent the request, for which
-// Choose has found none; 0 if one is open to other requests or the time is unknown.
+// RetryAfter returns the shortest time until an endpoint accepts a request for which Choose
+// found none. It returns 0 if an endpoint accepts other requests or if the time is unknown.
 func (t *Table) RetryAfter(now time.Time, a Ask) time.Duration {
 	g := (*t.byService.Load())[a.Service]
 	if g == nil {
 		return 0
 	}
 	var least time.Duration
-	for _, e := range g.within(a.Zones).endpoints {
+	for _, e := range g.inZones(a.Zones).endpoints {
 		at := e.warmup.OpensAt(now)
 		switch {
-		case e.lost.Load() || at.IsZero():
+		case e.excluded.Load() || at.IsZero():
 		case !at.After(now):
 			return 0
 		case least == 0 || at.Sub(now) < least:
@@ -206,24 +215,25 @@
 	return least
 }
 
-// best returns the plan with the shortest predicted wait among candidates.
-func (t *Table) best(now time.Time, a Ask, g *group, candidates []*Endpoint, home *Endpoint, blocked bool) (best plan, ok bool) {
+// cheapest returns the plan with the lowest cost among candidates. If blocked is set,
+// endpoints that are blocked after failures are included.
+func (t *Table) cheapest(now time.Time, a Ask, g *group, candidates []*Endpoint, home *Endpoint, blocked bool) (best plan, ok bool) {
 	var least time.Duration
-	donors := donors(now, a, candidates, home)
+	sources := findCacheSources(now, a, candidates, home)
 	for _, e := range candidates {
-		if !blocked && e.gate.Blocked(a.Since) || e.lost.Load() || !e.warmup.Open(now) || slices.Contains(a.Tried, e.beat.Incarnation) {
+		if !blocked && e.gate.Blocked(a.Since) || e.excluded.Load() || !e.warmup.Open(now) || slices.Contains(a.Tried, e.beat.Incarnation) {
 			continue
 		}
-		p, c := e.offer(now, a, e == home, donors)
-		if g.apart[e] {
-			c += apartCost(a.Prompt, e.beat.Zone == t.zone)
+		p, c := e.evaluate(now, a, e == home, sources)
+		if g.dedicated[e] {
+			c += dedicatedCost(a.Prompt, e.beat.Zone == t.zone)
 		}
 		if e.beat.Zone != t.zone {
 			c += crossZoneCost(a.Prompt)
 		}
 		c += probeCost(max(e.gate.ProbeDue(a.Since), e.warmup.ProbeDue(now)), a.Repeatable)
-		// A little noise keeps routers that know the same from choosing the
-		// same endpoint at the same moment.
+		// Random noise keeps routers with the same information from choosing the same
+		// endpoint at the same moment.
 		c += time.Duration(rand.Int64N(int64(2 * time.Millisecond)))
 		if !ok || c < least {
 			best, least, ok = p, c, true
@@ -232,16 +242,17 @@
 	return best, ok
 }
 
-// probeCost is the cost of sending a request to an endpoint whose probe has been due for a
-// time. Requests that may be repeated probe at no cost; others stand in only if none of
-// those came for probeOverdue.
+// probeCost returns the cost of sending a request to an endpoint whose probe has been due
+// for some time. Repeatable requests probe at no cost; others do only if no repeatable
+// request came for probeOverdue.
 func probeCost(due time.Duration, repeatable bool) time.Duration {
 	if due == 0 || repeatable || due > probeOverdue {
 		return 0
 	}
-	return fullCost
+	return unavailablePenalty
 }
 
+// crossZoneCost returns the cost of sending a request to another availability zone.
 func crossZoneCost(p *Prompt) time.Duration {
 	if p == nil {
 		return crossZonePlainPenalty
