--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -15,80 +15,83 @@
 	"rattanhoist.example/rattanhoist/publisher"
 )
 
-// outcome is what one attempt came to.
+// outcome is the result of one attempt to have an endpoint answer the request.
 type outcome int
 
 const (
-	// done says that the final answer was given.
-	done outcome = iota
-	// unsent says that no byte went out.
-	unsent
-	// notRun says that the endpoint did not run the request.
-	notRun
-	// lost says that the endpoint may have run it and no whole answer came.
-	lost
-	// repeat says that the endpoint answered with a failure of its own and
-	// that leave to try another was taken already.
-	repeat
-	// full says that the router may open no more connections there.
-	full
+	// outcomeDone means that the final answer was given.
+	outcomeDone outcome = iota
+	// outcomeUnsent means that no byte of the request was sent.
+	outcomeUnsent
+	// outcomeNotRun means that the endpoint did not run the request.
+	outcomeNotRun
+	// outcomeLost means that the endpoint may have run the request and that no complete
+	// answer came.
+	outcomeLost
+	// outcomeRetry means that the endpoint answered with an error of its own, and that the
+	// retry budget for another attempt has been taken already.
+	outcomeRetry
+	// outcomeNoConnection means that the router may not open more connections to the
+	// endpoint.
+	outcomeNoConnection
 )
 
-// plainMost bounds an answer that is held until it is whole, in bytes; a
-// larger one is passed on as it comes.
-const plainMost = 256 << 10
+// maxPlainAnswerBytes is how much is read of an answer that is passed on only when it
+// is complete. A longer one counts as broken off.
+const maxPlainAnswerBytes = 256 << 10
 
-// attempts sends the request until there is a final answer.
-func (j *job) attempts(ctx context.Context) {
+// runAttempts sends the request to endpoints until there is a final answer.
+func (j *job) runAttempts(ctx context.Context) {
 	for {
-		work := j.f.Table.Choose(time.Now(), j.ask())
-		if work == nil {
-			j.give(ctx, http.StatusServiceUnavailable, "no endpoint in service")
+		assignment := j.f.Table.Choose(time.Now(), j.predictorRequest())
+		if assignment == nil {
+			j.endWithoutAnswer(ctx, http.StatusServiceUnavailable, "no endpoint in service")
 			return
 		}
-		sent := time.Now()
-		o := j.attempt(ctx, work)
-		work.End()
-		if o == lost {
-			j.suspect(ctx, work.Endpoint(), time.Since(sent))
+		sentAt := time.Now()
+		o := j.attempt(ctx, assignment)
+		assignment.End()
+		if o == outcomeLost {
+			j.reportBrokenOff(ctx, assignment.Endpoint(), time.Since(sentAt))
 		}
-		if o == done || !j.again(ctx, o) {
+		if o == outcomeDone || !j.mayTryAgain(ctx, o) {
 			return
 		}
-		if o == full {
+		if o == outcomeNoConnection {
 			continue
 		}
-		repeated.Inc()
-		if j.began {
-			resumed.Inc()
+		requestsRepeated.Inc()
+		if j.headSent {
+			streamsResumed.Inc()
 		}
-		j.f.Log.Info("another endpoint", zap.String("request", j.caller.ID), zap.String("why", j.why),
-			zap.Stringers("endpoints", j.tried), zap.String("last_event", j.lastEvent))
+		j.f.Log.Info("another endpoint", zap.String("request", j.caller.ID), zap.String("why", j.reason),
+			zap.Stringers("endpoints", j.tried), zap.String("last_event", j.lastEventID))
 	}
 }
 
-// suspect tells of a request on which an endpoint broke off: it may be one that ends
-// endpoints.
-func (j *job) suspect(ctx context.Context, e *predictor.Endpoint, underway time.Duration) {
+// reportBrokenOff reports an endpoint that broke off while it ran the request: the request
+// may be one that crashes endpoints.
+func (j *job) reportBrokenOff(ctx context.Context, e *predictor.Endpoint, underway time.Duration) {
 	if ctx.Err() == nil {
 		j.suspected = true
-		j.f.Quarantine.BrokenOff(e, j.content, underway)
+		j.f.Quarantine.BrokenOff(e, j.fingerprint, underway)
 	}
 }
 
-// succeeded notes a whole answer that is not the endpoint's failure. Only a success
-// clears the request: endpoints that refuse or fail some of what they are sent do so
-// without running it.
-func (j *job) succeeded(status int, e *predictor.Endpoint) {
+// recordSuccess records a complete answer that is not a failure of the endpoint. Only a
+// success status clears the request in the quarantine: endpoints refuse or fail some
+// requests without running them.
+func (j *job) recordSuccess(status int, e *predictor.Endpoint) {
 	e.Gate().Step(time.Since(j.f.start), ejector.Succeeded, 0)
 	if status < http.StatusMultipleChoices {
-		j.f.Quarantine.Answered(j.content)
+		j.f.Quarantine.Answered(j.fingerprint)
 	}
 }
 
-func (j *job) ask() predictor.Ask {
+// predictorRequest describes the request for the choice of an endpoint.
+func (j *job) predictorRequest() predictor.Ask {
 	a := predictor.Ask{
-		Service: j.service.Name, Zones: j.zones, Prompt: j.caller.Prompt, Partial: j.f.Fleet.Partial(), Tried: append(j.tried, j.full...),
+		Service: j.service.Name, Zones: j.zones, Prompt: j.caller.Prompt, Partial: j.f.Fleet.Partial(), Tried: append(j.tried, j.noConnection...),
 		Since: time.Since(j.f.start), Repeatable: j.repeatable() && len(j.tried)+1 < j.route.Attempts,
 	}
 	if e := j.service.Engine; e != nil {
@@ -97,141 +100,146 @@
 	return a
 }
 
-// again reports whether another attempt may follow; if not, it has given the
-// final answer.
-func (j *job) again(ctx context.Context, o outcome) bool {
+// mayTryAgain reports whether another attempt may follow. If not, it has given the final
+// answer.
+func (j *job) mayTryAgain(ctx context.Context, o outcome) bool {
 	if ctx.Err() != nil {
-		j.give(ctx, http.StatusServiceUnavailable, "out of time")
+		j.endWithoutAnswer(ctx, http.StatusServiceUnavailable, "out of time")
 		return false
 	}
-	if j.f.Quarantine.Held(j.content) > 0 {
-		j.give(ctx, http.StatusServiceUnavailable, whyHeld)
+	if j.f.Quarantine.Held(j.fingerprint) > 0 {
+		j.endWithoutAnswer(ctx, http.StatusServiceUnavailable, heldBackReason)
 		return false
 	}
-	if o == unsent {
-		j.unsent++
-		if !j.mayHaveRun && !j.began && j.overloaded() {
+	if o == outcomeUnsent {
+		j.unreachable++
+		if !j.mayHaveRun && !j.headSent && j.overloaded() {
 			return j.refuseOverloaded()
 		}
-		if j.unsent < unsentMost {
+		if j.unreachable < maxUnreachable {
 			return true
 		}
-		j.give(ctx, http.StatusServiceUnavailable, "endpoints out of reach: "+j.why)
+		j.endWithoutAnswer(ctx, http.StatusServiceUnavailable, "endpoints out of reach: "+j.reason)
 		return false
 	}
-	if o == repeat || o == full {
+	if o == outcomeRetry || o == outcomeNoConnection {
 		return true
 	}
-	if o == lost && !j.repeatable() {
-		j.give(ctx, http.StatusBadGateway, j.why)
+	if o == outcomeLost && !j.repeatable() {
+		j.endWithoutAnswer(ctx, http.StatusBadGateway, j.reason)
 		return false
 	}
-	if !j.takeRepeat() {
-		j.give(ctx, http.StatusServiceUnavailable, j.why)
+	if !j.takeRetry() {
+		j.endWithoutAnswer(ctx, http.StatusServiceUnavailable, j.reason)
 		return false
 	}
 	return true
 }
 
-// takeRepeat takes leave to send the request to one more endpoint.
-func (j *job) takeRepeat() bool {
+// takeRetry takes one retry out of the retry budget, if the route allows another attempt.
+func (j *job) takeRetry() bool {
 	return len(j.tried) < max(j.route.Attempts, 1) &&
 		j.f.Limiter.Repeat(time.Now(), j.service.Name, j.f.Fleet.Routers())
 }
 
-// repeatable reports whether the request may run again, or go on, elsewhere.
+// repeatable reports whether the request may be run again, or its stream be resumed, at
+// another endpoint.
 func (j *job) repeatable() bool {
 	if !j.route.Repeatable() {
 		return false
 	}
-	return j.route.Kind != publisher.Stream || !j.began || j.lastEvent != ""
+	return j.route.Kind != publisher.Stream || !j.headSent || j.lastEventID != ""
 }
 
-// give ends the request without an endpoint's answer. What may have run is
-// never called not run.
-func (j *job) give(ctx context.Context, status int, why string) {
+// endWithoutAnswer ends the request without an endpoint's answer. A request that may have
+// run is never reported as not run.
+func (j *job) endWithoutAnswer(ctx context.Context, status int, reason string) {
 	switch {
 	case j.r.Context().Err() != nil:
-		// The caller is gone; nobody reads an answer.
-		j.log(0, "caller gone: "+why)
+		// The caller has disconnected, so nobody reads an answer.
+		j.logEnd(0, "caller gone: "+reason)
 		panic(http.ErrAbortHandler)
 	case ctx.Err() != nil && j.mayHaveRun:
-		j.fail(http.StatusGatewayTimeout, "no whole answer in time: "+why)
+		j.fail(http.StatusGatewayTimeout, "no whole answer in time: "+reason)
 	case j.mayHaveRun:
-		j.fail(http.StatusBadGateway, why)
+		j.fail(http.StatusBadGateway, reason)
 	default:
-		j.refuseFor(max(j.f.Table.RetryAfter(time.Now(), j.ask()), comeBack), status, why)
+		j.refuseFor(max(j.f.Table.RetryAfter(time.Now(), j.predictorRequest()), retryDelay), status, reason)
 	}
 }
 
-func (j *job) attempt(ctx context.Context, work *predictor.Work) outcome {
-	e := work.Endpoint()
+// attempt sends the request to one endpoint and handles the answer.
+func (j *job) attempt(ctx context.Context, assignment *predictor.Work) outcome {
+	e := assignment.Endpoint()
 	b := e.Beat()
 	e.Gate().Step(time.Since(j.f.start), ejector.Dispatched, 0)
-	if work.Unread() > 0 {
-		j.f.Fleet.Dispatched(e.Name(), b.Zone, work.Dispatch())
+	if assignment.Unread() > 0 {
+		j.f.Fleet.Dispatched(e.Name(), b.Zone, assignment.Dispatch())
 	}
 	if e.Warmup().RateLimit().Limited {
-		toRateLimited.Inc()
+		requestsToRateLimited.Inc()
 	}
 	if e.Warmup().BackingOff(time.Now()) {
-		beforeRetryAfter.Inc()
+		requestsBeforeRetryAfter.Inc()
 	}
-	before, sentAt := j.mayHaveRun, time.Now()
-	a, err := j.f.Pool.Exchange(ctx, j.target(e), j.request(work))
+	mayHaveRunBefore, sentAt := j.mayHaveRun, time.Now()
+	a, err := j.f.Pool.Exchange(ctx, j.connectionTarget(e), j.endpointRequest(assignment))
 	if err != nil {
-		j.why = err.Error()
+		j.reason = err.Error()
 		if errors.Is(err, pooler.ErrMayHaveRun) {
 			j.tried = append(j.tried, b.Incarnation)
 			j.mayHaveRun = true
-			j.blame(ctx, e)
-			return lost
+			j.recordFailure(ctx, e)
+			return outcomeLost
 		}
 		if errors.Is(err, pooler.ErrBound) {
-			j.full = append(j.full, b.Incarnation)
-			return full
+			j.noConnection = append(j.noConnection, b.Incarnation)
+			return outcomeNoConnection
 		}
 		if !j.overloaded() {
-			j.blame(ctx, e)
+			j.recordFailure(ctx, e)
 		}
-		return unsent
+		return outcomeUnsent
 	}
 	j.tried = append(j.tried, b.Incarnation)
 	defer a.Close()
-	marks := j.f.Wire.Marks(a.Status, a.Header)
+	fields := j.f.Wire.Marks(a.Status, a.Header)
 	// A misdirected response comes from another incarnation, so it does not describe e.
-	if !marks.Moved {
-		j.f.Fleet.Observe(e, marks.State, sentAt)
+	if !fields.Moved {
+		j.f.Fleet.Observe(e, fields.State, sentAt)
 	}
-	if marks.NotRun || marks.Moved {
-		j.mayHaveRun = before
-		return j.notRun(a, marks, e)
+	if fields.NotRun || fields.Moved {
+		j.mayHaveRun = mayHaveRunBefore
+		return j.handleNotRun(a, fields, e)
 	}
 	j.mayHaveRun = true
-	return j.pass(ctx, a, work)
+	return j.passAnswer(ctx, a, assignment)
 }
 
-// blame counts a failure against an endpoint, unless the caller left or the
-// time ran out.
-func (j *job) blame(ctx context.Context, e *predictor.Endpoint) {
+// recordFailure counts a failure against an endpoint, unless the caller disconnected or the
+// deadline passed.
+func (j *job) recordFailure(ctx context.Context, e *predictor.Endpoint) {
 	if ctx.Err() == nil {
-		blamed.Inc()
+		endpointFailures.Inc()
 		e.Gate().Step(time.Since(j.f.start), ejector.Failed, 0)
 	}
 }
 
-func (j *job) target(e *predictor.Endpoint) pooler.Target {
+// connectionTarget returns the endpoint's address together with this router's share of its
+// connection limit.
+func (j *job) connectionTarget(e *predictor.Endpoint) pooler.Target {
 	routers := float64(max(j.f.Fleet.Routers(), 1))
-	uneven := min(max(routers/unevenFrom, 1), unevenMost)
-	share := int(connectionPart * uneven * float64(j.service.Connections) / routers)
-	return pooler.Target{ID: e.Name(), Address: e.Beat().Address, Most: max(share, connectionsMin)}
+	skew := min(max(routers/skewedRouters, 1), maxConnectionSkew)
+	share := int(connectionFraction * skew * float64(j.service.Connections) / routers)
+	return pooler.Target{ID: e.Name(), Address: e.Beat().Address, Most: max(share, minConnections)}
 }
 
-func (j *job) request(w *predictor.Work) *pooler.Request {
-	s := Stamp{Deadline: time.Until(j.until), Endpoint: w.Endpoint().Beat().ID, Resume: j.lastEvent, Urgency: -1}
+// endpointRequest returns the request to send to the assigned endpoint.
+func (j *job) endpointRequest(w *predictor.Work) *pooler.Request {
+	s := Stamp{Deadline: time.Until(j.deadline), Endpoint: w.Endpoint().Beat().ID, Resume: j.lastEventID, Urgency: -1}
 	if d := w.Donor(); d != nil {
 		s.Donor = d.Beat().Address
-		fetched.Inc()
+		promptsFetched.Inc()
 	}
 	if j.workspace != nil {
 		s.Workspace = j.workspace.Name
@@ -242,58 +250,58 @@
 	}
 }
 
-// notRun handles an answer that says that nothing was run.
-func (j *job) notRun(a *pooler.Answer, m Marks, e *predictor.Endpoint) outcome {
-	j.why = "endpoint did not run it: " + http.StatusText(a.Status)
-	body, err := io.ReadAll(io.LimitReader(a.Body, plainMost))
+// handleNotRun handles an answer stating that the request was not run.
+func (j *job) handleNotRun(a *pooler.Answer, m Marks, e *predictor.Endpoint) outcome {
+	j.reason = "endpoint did not run it: " + http.StatusText(a.Status)
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxPlainAnswerBytes))
 	if m.Moved {
-		// The address belongs to somebody else now: the incarnation is gone.
+		// The address belongs to another incarnation now.
 		e.Lose()
 	}
 	if a.Status == http.StatusBadRequest && err == nil && a.Ended() {
-		j.send(a, body, false)
-		return done
+		j.sendAnswer(a, body, false)
+		return outcomeDone
 	}
-	return notRun
+	return outcomeNotRun
 }
 
-// pass gives the caller an answer of an endpoint that ran the request.
-func (j *job) pass(ctx context.Context, a *pooler.Answer, work *predictor.Work) outcome {
+// passAnswer passes on the answer of an endpoint that may have run the request.
+func (j *job) passAnswer(ctx context.Context, a *pooler.Answer, assignment *predictor.Work) outcome {
 	if j.route.Kind == publisher.Stream && a.Status == http.StatusOK {
-		return j.relay(ctx, a, work)
+		return j.relay(ctx, a, assignment)
 	}
-	if j.began {
-		j.why = "stream not taken up: " + http.StatusText(a.Status)
-		return lost
+	if j.headSent {
+		j.reason = "stream not taken up: " + http.StatusText(a.Status)
+		return outcomeLost
 	}
-	body, err := io.ReadAll(io.LimitReader(a.Body, plainMost))
-	work.First(time.Now())
-	e := work.Endpoint()
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxPlainAnswerBytes))
+	assignment.First(time.Now())
+	e := assignment.Endpoint()
 	if err != nil || !a.Ended() {
-		j.why = "answer broken off"
-		j.blame(ctx, e)
-		return lost
+		j.reason = "answer broken off"
+		j.recordFailure(ctx, e)
+		return outcomeLost
 	}
 	if a.Status >= http.StatusInternalServerError {
-		j.blame(ctx, e)
-		if ctx.Err() == nil && j.repeatable() && j.takeRepeat() {
-			j.why = "endpoint failed: " + http.StatusText(a.Status)
-			return repeat
+		j.recordFailure(ctx, e)
+		if ctx.Err() == nil && j.repeatable() && j.takeRetry() {
+			j.reason = "endpoint failed: " + http.StatusText(a.Status)
+			return outcomeRetry
 		}
 	} else {
-		j.succeeded(a.Status, e)
+		j.recordSuccess(a.Status, e)
 	}
-	if promises(a.Status) {
-		// Passed on, it would promise that nothing was run.
+	// Passed on unchanged, the status would state that nothing was run.
+	if impliesNotRun(a.Status) {
 		j.fail(http.StatusBadGateway, "endpoint answered "+http.StatusText(a.Status)+" without saying that it did not run it")
-		return done
+		return outcomeDone
 	}
-	j.send(a, body, false)
-	return done
+	j.sendAnswer(a, body, false)
+	return outcomeDone
 }
 
-// promises reports whether a status says that the request did not run.
-func promises(status int) bool {
+// impliesNotRun reports whether a status means to callers that the request was not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -301,25 +309,26 @@
 	return false
 }
 
-// send passes a whole answer on.
-func (j *job) send(a *pooler.Answer, body []byte, unsigned bool) {
-	j.head(a, unsigned)
+// sendAnswer passes on a complete answer.
+func (j *job) sendAnswer(a *pooler.Answer, body []byte, unsigned bool) {
+	j.copyHeader(a, unsigned)
 	j.w.WriteHeader(a.Status)
 	_, err := j.w.Write(body)
 	if err != nil {
-		j.log(a.Status, "caller gone: "+err.Error())
+		j.logEnd(a.Status, "caller gone: "+err.Error())
 		return
 	}
-	j.log(a.Status, "")
+	j.logEnd(a.Status, "")
 }
 
-func (j *job) head(a *pooler.Answer, unsigned bool) {
+// copyHeader copies the header of an endpoint's answer to the caller's.
+func (j *job) copyHeader(a *pooler.Answer, unsigned bool) {
 	h := j.w.Header()
 	for k, v := range j.f.Wire.Back(a.Header, unsigned) {
 		h[k] = v
 	}
 	if h["Content-Type"] == nil {
-		// Otherwise the library guesses one from the bytes.
+		// Otherwise net/http detects a type from the body.
 		h["Content-Type"] = nil
 	}
 }
--- a/forwarder/counters.go
+++ b/forwarder/counters.go
@@ -7,32 +7,33 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Counters of the path of a request, as text on the metrics address.
+// Metrics of the request path, in the text format of the metrics address.
 var (
-	firstEvent      = metrics.NewHistogram("rattanhoist_first_event_seconds")
-	predictionError = metrics.NewHistogram("rattanhoist_first_event_prediction_error_seconds")
-	longestPause    = metrics.NewHistogram("rattanhoist_longest_pause_seconds")
-	plainAnswer     = metrics.NewHistogram("rattanhoist_plain_answer_seconds")
-	resumed         = metrics.NewCounter("rattanhoist_streams_resumed_total")
-	repeated        = metrics.NewCounter("rattanhoist_requests_repeated_total")
-	fetched         = metrics.NewCounter("rattanhoist_prompts_fetched_total")
-	heldBack        = metrics.NewCounter("rattanhoist_requests_held_back_total")
-	toRateLimited   = metrics.NewCounter("rattanhoist_requests_to_rate_limited_total")
-	// beforeRetryAfter counts requests sent to an endpoint before its Retry-After period elapsed.
-	beforeRetryAfter = metrics.NewCounter("rattanhoist_requests_before_retry_after_total")
-	overloadRefusals = metrics.NewCounter("rattanhoist_overload_refusals_total")
-	blamed           = metrics.NewCounter("rattanhoist_endpoint_failures_total")
+	firstEventSeconds      = metrics.NewHistogram("rattanhoist_first_event_seconds")
+	predictionErrorSeconds = metrics.NewHistogram("rattanhoist_first_event_prediction_error_seconds")
+	longestPauseSeconds    = metrics.NewHistogram("rattanhoist_longest_pause_seconds")
+	plainAnswerSeconds     = metrics.NewHistogram("rattanhoist_plain_answer_seconds")
+	streamsResumed         = metrics.NewCounter("rattanhoist_streams_resumed_total")
+	requestsRepeated       = metrics.NewCounter("rattanhoist_requests_repeated_total")
+	promptsFetched         = metrics.NewCounter("rattanhoist_prompts_fetched_total")
+	requestsHeldBack       = metrics.NewCounter("rattanhoist_requests_held_back_total")
+	requestsToRateLimited  = metrics.NewCounter("rattanhoist_requests_to_rate_limited_total")
+	// requestsBeforeRetryAfter counts requests sent to an endpoint before its Retry-After
+	// period elapsed.
+	requestsBeforeRetryAfter = metrics.NewCounter("rattanhoist_requests_before_retry_after_total")
+	overloadRefusals         = metrics.NewCounter("rattanhoist_overload_refusals_total")
+	endpointFailures         = metrics.NewCounter("rattanhoist_endpoint_failures_total")
 )
 
-// countEnd counts a final answer; status 0 stands for a caller who left.
+// countEnd counts a final answer; status 0 stands for a caller who disconnected.
 func (j *job) countEnd(status int) {
 	metrics.GetOrCreateCounter(`rattanhoist_answers_total{status="` + strconv.Itoa(status) + `"}`).Inc()
 	switch {
 	case j.events > 0:
-		firstEvent.Update(j.first.Seconds())
-		predictionError.Update((j.first - j.predicted).Abs().Seconds())
-		longestPause.Update(j.pause.Seconds())
+		firstEventSeconds.Update(j.firstEvent.Seconds())
+		predictionErrorSeconds.Update((j.firstEvent - j.predictedFirstEvent).Abs().Seconds())
+		longestPauseSeconds.Update(j.longestPause.Seconds())
 	case status == 200:
-		plainAnswer.Update(time.Since(j.begun).Seconds())
+		plainAnswerSeconds.Update(time.Since(j.startedAt).Seconds())
 	}
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -20,106 +20,112 @@
 	"rattanhoist.example/rattanhoist/quarantiner"
 )
 
-// Errors of rights. Compare with errors.Is.
+// Errors of Rights. Compare with errors.Is.
 var (
-	// ErrSpent says that the prepaid total does not cover the request.
+	// ErrSpent means that the workspace's prepaid total does not cover the request.
 	ErrSpent = merry.Sentinel("prepaid total does not cover the request")
-	// ErrRightsOutOfReach says that rights may exist that this router can't
-	// get now.
+	// ErrRightsUnavailable means that the workspace may have unspent tokens that this
+	// router can't reserve now.
 	ErrRightsOutOfReach = merry.Sentinel("prepaid rights are out of reach")
 )
 
-// OutOfReach is ErrRightsOutOfReach with the time after which rights are expected.
+// RightsUnavailable is ErrRightsUnavailable with the time after which tokens are expected
+// to be available.
 type OutOfReach struct{ After time.Duration }
 
-// Error returns the text of ErrRightsOutOfReach.
+// Error returns the text of ErrRightsUnavailable.
 func (OutOfReach) Error() string { return ErrRightsOutOfReach.Error() }
 
-// Unwrap makes it one with ErrRightsOutOfReach.
+// Unwrap returns ErrRightsUnavailable, for errors.Is.
 func (OutOfReach) Unwrap() error { return ErrRightsOutOfReach }
 
 const (
-	// defaultTimeout bounds a request whose caller names no deadline and whose route's
-	// timeout is longer.
+	// defaultTimeout bounds requests without a shorter deadline or route timeout.
 	defaultTimeout = 60 * time.Second
-	// unsentMost is how many endpoints may turn out to be unreachable before
-	// the request is refused; none of them got a byte.
-	unsentMost = 3
-	// comeBack and comeBackSpread are when a refused caller should come back:
-	// a few engine steps later, spread so that they don't return together.
-	comeBack       = 150 * time.Millisecond
-	comeBackSpread = 250 * time.Millisecond
-	// comeBackElsewhere is when a caller should come back whom another router can serve at
-	// once.
-	comeBackElsewhere = 10 * time.Millisecond
-	// comeBackUnserved is when a caller should come back whose request only another
-	// configuration lets in.
-	comeBackUnserved = time.Second
-	// connectionPart of an endpoint's bound is shared out among routers; the
-	// rest is for connections that are being closed.
-	connectionPart = 0.8
-	// Callers are spread over routers by a hash, unevenly: from unevenFrom routers on each
-	// may open more connections than its part, up to unevenMost times as many.
-	unevenFrom     = 12
-	unevenMost     = 3
-	connectionsMin = 4
-	// bodyMost bounds a body where the document states no bound, in bytes.
-	bodyMost = 4 << 20
+	// maxUnreachable is how many endpoints may be unreachable before a request is refused.
+	// None of them received a byte of it.
+	maxUnreachable = 3
+	// retryDelay is the default Retry-After time of refused requests, a few engine steps. A
+	// random part of up to retryJitter is added so that the callers don't return at the
+	// same moment.
+	retryDelay  = 150 * time.Millisecond
+	retryJitter = 250 * time.Millisecond
+	// retryDelayOverload is the Retry-After time where another router can serve the caller
+	// at once.
+	retryDelayOverload = 10 * time.Millisecond
+	// retryDelayUnserved is the Retry-After time of requests that only a new configuration
+	// can admit.
+	retryDelayUnserved = time.Second
+	// connectionFraction of an endpoint's connection limit is shared among the routers; the
+	// rest allows for connections that are being closed.
+	connectionFraction = 0.8
+	// Callers are distributed over routers by a hash, which is uneven. Above skewedRouters
+	// routers, each may open more connections than an equal share, by up to a factor of
+	// maxConnectionSkew.
+	skewedRouters     = 12
+	maxConnectionSkew = 3
+	minConnections    = 4
+	// defaultMaxBodyBytes is the limit on request bodies where the configuration
+	// states none.
+	defaultMaxBodyBytes = 4 << 20
 )
 
-// whyHeld is the answer to a request that is held back.
-const whyHeld = "held back: endpoints ended under requests equal to it"
+// heldBackReason is the body of answers to requests that are held back by the quarantine.
+const heldBackReason = "held back: endpoints ended under requests equal to it"
 
-// Reservation is tokens set aside for one request.
+// Reservation is a number of prepaid tokens reserved for one request.
 type Reservation interface {
-	// Settle gives back what was not spent; it must be called once.
+	// Settle returns the tokens that were not spent. It must be called once.
 	Settle(spent int64)
 }
 
-// Rights sets tokens of a workspace aside.
+// Rights reserves prepaid tokens of workspaces.
 type Rights interface {
-	// Reserve returns ErrSpent, or OutOfReach, where it can't.
+	// Reserve returns ErrSpent or a RightsUnavailable error if the tokens can't be
+	// reserved.
 	Reserve(ctx context.Context, workspace string, tokens int64) (Reservation, error)
 }
 
-// Fleet is what the router knows of the others.
+// Fleet provides the configuration and connects the router with the other routers.
 type Fleet interface {
-	// Await returns the document in force, or nil while a newer one is known; before the
-	// first it waits for it for a moment, and returns after what time it is expected.
+	// AwaitConfiguration returns the configuration in force, or nil while a newer one is
+	// known to exist. Until the first configuration arrives, it waits for a moment; if none
+	// comes, it returns the time after which one is expected.
 	Await(ctx context.Context) (x *publisher.Index, after time.Duration)
-	// Routers is how many routers share the fleet's bounds; at least 1.
+	// Routers returns the number of routers that share the fleet's limits; at least 1.
 	Routers() int
-	// Dispatched tells other routers of a prompt sent to an endpoint of a zone.
+	// AnnounceDispatch tells other routers about a prompt sent to an endpoint of a zone.
 	Dispatched(endpoint, zone string, d predictor.Dispatch)
 	// Observe records the state that an endpoint reported in its response to a request sent
 	// at sentAt.
 	Observe(e *predictor.Endpoint, s predictor.State, sentAt time.Time)
-	// Partial reports whether only some of the other routers tell this one what they
-	// send.
+	// PartialDispatches reports whether only some of the other routers tell this one about
+	// their dispatches.
 	Partial() bool
 }
 
-// Quarantine knows which requests end the endpoints that run them.
+// Quarantine identifies requests that crash the endpoints that run them.
 type Quarantine interface {
-	// Held returns for how much longer a request is held back; 0 for one that is not.
+	// HeldFor returns for how much longer a request is held back; 0 if it is not.
 	Held(quarantiner.Fingerprint) time.Duration
-	// Answered tells that an endpoint gave a whole answer with success.
+	// RecordSuccess records that an endpoint answered a request completely and
+	// successfully.
 	Answered(quarantiner.Fingerprint)
-	// BrokenOff tells that an endpoint's connection ended before the answer, and how
-	// long before the request was sent there.
+	// RecordBrokenOff records that an endpoint's connection ended before the answer was
+	// complete; underway is the time since the request was sent there.
 	BrokenOff(e *predictor.Endpoint, f quarantiner.Fingerprint, underway time.Duration)
 }
 
-// Admission decides which requests this router takes on.
+// Admission decides which requests this router accepts.
 type Admission interface {
-	// Admit reports whether a request with a body of n bytes may be taken on.
+	// Admit reports whether a request with a body of n bytes may be accepted.
 	Admit(now time.Time, n int64) bool
-	// Overloaded reports whether the router itself delays work so much that connections it
-	// can't make tell nothing of endpoints.
+	// Overloaded reports whether the router itself is so delayed that failed connections
+	// say nothing about the endpoints.
 	Overloaded(now time.Time) bool
 }
 
-// Parts are what a forwarder works with.
+// Dependencies are the components that a forwarder uses.
 type Parts struct {
 	Wire       Wire
 	Fleet      Fleet
@@ -128,12 +134,12 @@
 	Rights     Rights
 	Limiter    *limiter.Limiter
 	Quarantine Quarantine
-	// Admission is nil where every request is taken on.
+	// Admission is nil if every request is accepted.
 	Admission Admission
 	Log       *zap.Logger
 }
 
-// Forwarder serves callers. It is safe for concurrent use.
+// Forwarder is the HTTP handler for callers. It is safe for concurrent use.
 type Forwarder struct {
 	Parts
 	start time.Time
@@ -142,87 +148,88 @@
 // New returns a forwarder.
 func New(p Parts) *Forwarder { return &Forwarder{Parts: p, start: time.Now()} }
 
-// ServeHTTP takes one request and gives its final answer.
+// ServeHTTP handles one request up to its final answer.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	j := &job{f: f, w: w, r: r, begun: time.Now()}
+	j := &job{f: f, w: w, r: r, startedAt: time.Now()}
 	j.serve()
 }
 
 // job is one request from its arrival to its final answer.
 type job struct {
-	f      *Forwarder
-	w      http.ResponseWriter
-	r      *http.Request
-	begun  time.Time
-	caller Caller
-	index  *publisher.Index
-	route  *publisher.Route
-	// Service is drawn once: repeats stay with it.
+	f         *Forwarder
+	w         http.ResponseWriter
+	r         *http.Request
+	startedAt time.Time
+	caller    Caller
+	index     *publisher.Index
+	route     *publisher.Route
+	// service is chosen once; retries stay with it.
 	service   *publisher.Service
 	workspace *publisher.Workspace
-	// Zones is where the request may be served; nil for everywhere.
-	zones   *localizer.Zones
-	body    []byte
-	content quarantiner.Fingerprint
-	until   time.Time
-	// Reserved is nil where nothing is paid.
-	reserved Reservation
-	// Tried holds the incarnations that the request was sent to.
+	// zones holds the zones in which the request may be served; nil stands for all.
+	zones       *localizer.Zones
+	body        []byte
+	fingerprint quarantiner.Fingerprint
+	deadline    time.Time
+	// reservation is nil if the request uses no prepaid tokens.
+	reservation Reservation
+	// tried holds the incarnations that the request was sent to.
 	tried []enroller.Incarnation
-	// Full holds the incarnations that had no connection left.
-	full []enroller.Incarnation
-	// Unsent counts endpoints that could not be reached.
-	unsent int
-	// MayHaveRun says that some endpoint may have run the request.
+	// noConnection holds the incarnations that had no connection left for this router.
+	noConnection []enroller.Incarnation
+	// unreachable counts the endpoints that could not be reached.
+	unreachable int
+	// mayHaveRun is set if an endpoint may have run the request.
 	mayHaveRun bool
-	// Suspected says that an endpoint broke off under the request, or that it is held
-	// back.
+	// suspected is set if an endpoint broke off while it ran the request, or if the request
+	// is held back.
 	suspected bool
-	// Delivered counts tokens passed on to the caller.
-	delivered int64
-	// Began says that the head of the answer was sent to the caller.
-	began bool
-	// Events counts those passed on; eventAt is when the last one came.
-	events  int
-	eventAt time.Time
-	// First, predicted and pause tell how well the stream ran: the time to its
-	// first event, as it was and as expected at the last dispatch, and its
-	// longest pause.
-	first, predicted, pause time.Duration
-	// Unread is the prompt tokens to be read at the last endpoint, as expected.
-	unread int64
-	// LastEvent is the id of the last whole event passed on.
-	lastEvent string
-	why       string
+	// deliveredTokens counts the tokens passed on to the caller.
+	deliveredTokens int64
+	// headSent is set once the head of the answer was sent to the caller.
+	headSent bool
+	// events counts the events passed on; lastEventAt is the arrival time of the last one.
+	events      int
+	lastEventAt time.Time
+	// Latency of the stream: the time to its first event, that time as predicted at the
+	// last dispatch, and the longest pause between events.
+	firstEvent, predictedFirstEvent, longestPause time.Duration
+	// uncachedTokens is the predicted number of prompt tokens to prefill at the last
+	// endpoint.
+	uncachedTokens int64
+	// lastEventID is the id of the last complete event passed on.
+	lastEventID string
+	reason      string
 }
 
+// serve handles the request from its arrival to its final answer.
 func (j *job) serve() {
 	if !j.prepare() {
 		return
 	}
-	ctx, cancel := context.WithDeadline(j.r.Context(), j.until)
+	ctx, cancel := context.WithDeadline(j.r.Context(), j.deadline)
 	defer cancel()
 	if !j.reserve(ctx) {
 		return
 	}
-	if j.reserved != nil {
-		defer func() { j.reserved.Settle(j.spent()) }()
+	if j.reservation != nil {
+		defer func() { j.reservation.Settle(j.spentTokens()) }()
 	}
-	j.f.Limiter.Request(j.begun, j.service.Name)
-	j.attempts(ctx)
+	j.f.Limiter.Request(j.startedAt, j.service.Name)
+	j.runAttempts(ctx)
 }
 
-// spent is what the request costs: its prompt once if any endpoint may have
-// run it, and each token passed on.
-func (j *job) spent() int64 {
+// spentTokens returns the number of tokens that the request is charged: its prompt once if
+// any endpoint may have run it, and each token passed on.
+func (j *job) spentTokens() int64 {
 	if !j.mayHaveRun || j.caller.Prompt == nil {
 		return 0
 	}
-	return j.caller.Prompt.In + j.delivered
+	return j.caller.Prompt.In + j.deliveredTokens
 }
 
-// prepare finds route, service and workspace and reads the body; it reports
-// false when the answer is given already.
+// prepare finds the route, service and workspace and reads the body. It returns false if it
+// has given the final answer.
 func (j *job) prepare() bool {
 	var after time.Duration
 	if j.index, after = j.f.Fleet.Await(j.r.Context()); j.index == nil {
@@ -237,49 +244,55 @@
 	if j.route == nil {
 		return j.fail(http.StatusNotFound, "no route")
 	}
-	if !j.identify() {
+	if !j.authenticate() {
 		return false
 	}
-	j.service = j.index.Service(draw(j.route.Shares))
+	j.service = j.index.Service(chooseService(j.route.Shares))
 	timeout := j.route.Timeout
 	if c.Deadline > 0 {
 		timeout = min(timeout, c.Deadline)
 	}
-	j.until = j.begun.Add(min(timeout, defaultTimeout))
-	return j.locate() && j.admit() && j.readBody() && j.mayRun()
+	j.deadline = j.startedAt.Add(min(timeout, defaultTimeout))
+	return j.resolveZones() && j.admit() && j.readBody() && j.checkQuarantine()
 }
 
-// admit refuses a request, before its body is read, that would wait for this router's link or
-// processor: the platform sends its caller's next try to another router.
+// admit refuses a request, before its body is read, that would be delayed by this router's
+// network link or processor. The platform sends the caller's next attempt to another
+// router.
 func (j *job) admit() bool {
-	if j.f.Admission == nil || j.f.Admission.Admit(j.begun, max(j.r.ContentLength, 0)) {
+	if j.f.Admission == nil || j.f.Admission.Admit(j.startedAt, max(j.r.ContentLength, 0)) {
 		return true
 	}
 	return j.refuseOverloaded()
 }
 
-// refuseOverloaded says that the request has not run, and that another router can serve it.
+// refuseOverloaded answers that the request has not run and that another router can serve
+// it.
 func (j *job) refuseOverloaded() bool {
 	overloadRefusals.Inc()
-	j.f.Wire.RetryAfter(j.w.Header(), comeBackElsewhere+rand.N(comeBackElsewhere))
+	j.f.Wire.RetryAfter(j.w.Header(), retryDelayOverload+rand.N(retryDelayOverload))
 	return j.fail(http.StatusServiceUnavailable, "this router is overloaded")
 }
 
-// overloaded reports whether failures to reach endpoints may be due to this router.
+// overloaded reports whether failures to reach endpoints may be caused by this router's own
+// load.
 func (j *job) overloaded() bool {
 	return j.f.Admission != nil && j.f.Admission.Overloaded(time.Now())
 }
 
-// locate finds where the request may be served; it refuses one that no zone may serve.
-func (j *job) locate() bool {
+// resolveZones determines the zones in which the request may be served. It refuses a
+// request for which there is none.
+func (j *job) resolveZones() bool {
 	j.zones = j.index.Zones(j.route, j.workspace)
 	if j.zones.Empty() {
-		return j.refuseFor(comeBackUnserved, http.StatusServiceUnavailable, "no availability zone is in the regions that route and workspace allow")
+		return j.refuseFor(retryDelayUnserved, http.StatusServiceUnavailable, "no availability zone is in the regions that route and workspace allow")
 	}
 	return true
 }
 
-func (j *job) identify() bool {
+// authenticate finds the workspace of the caller's key. It refuses unknown keys on routes
+// that need one.
+func (j *job) authenticate() bool {
 	if !j.index.Document().Keyed || j.route.Public {
 		return true
 	}
@@ -290,15 +303,17 @@
 	return true
 }
 
+// readBody reads the request's body up to the configured limit and computes the
+// fingerprint.
 func (j *job) readBody() bool {
-	most := j.index.Document().Limits.BodyBytes
-	if most <= 0 {
-		most = bodyMost
+	limit := j.index.Document().Limits.BodyBytes
+	if limit <= 0 {
+		limit = defaultMaxBodyBytes
 	}
 	var err error
-	j.body, err = io.ReadAll(http.MaxBytesReader(j.w, j.r.Body, most))
+	j.body, err = io.ReadAll(http.MaxBytesReader(j.w, j.r.Body, limit))
 	if err == nil {
-		j.identifyContent()
+		j.computeFingerprint()
 		return true
 	}
 	var large *http.MaxBytesError
@@ -308,28 +323,29 @@
 	return j.fail(http.StatusBadRequest, "body not read: "+err.Error())
 }
 
-// mayRun refuses a request under which endpoints have ended: it would end the next one,
-// with all that others have running there, and fail.
-func (j *job) mayRun() bool {
-	left := j.f.Quarantine.Held(j.content)
-	if left == 0 {
+// checkQuarantine refuses a request that has crashed endpoints. It would crash the next one
+// as well, fail, and break off all other requests running there.
+func (j *job) checkQuarantine() bool {
+	remaining := j.f.Quarantine.Held(j.fingerprint)
+	if remaining == 0 {
 		return true
 	}
-	heldBack.Inc()
+	requestsHeldBack.Inc()
 	j.suspected = true
-	return j.refuseFor(left, http.StatusServiceUnavailable, whyHeld)
+	return j.refuseFor(remaining, http.StatusServiceUnavailable, heldBackReason)
 }
 
-func (j *job) identifyContent() {
+// computeFingerprint computes the fingerprint that identifies equal requests.
+func (j *job) computeFingerprint() {
 	r := quarantiner.Request{Method: j.r.Method, Host: j.r.Host, Target: j.r.RequestURI, Body: j.body}
 	if j.workspace != nil {
 		r.Workspace = j.workspace.Name
 	}
-	j.content = r.Fingerprint()
+	j.fingerprint = r.Fingerprint()
 }
 
-// draw picks a service by weight.
-func draw(shares []publisher.Share) string {
+// chooseService chooses a service at random, by weight.
+func chooseService(shares []publisher.Share) string {
 	var sum int64
 	for _, s := range shares {
 		sum += s.Weight
@@ -343,6 +359,8 @@
 	return shares[len(shares)-1].Service
 }
 
+// reserve reserves prepaid tokens for the prompt and the longest possible output. It
+// refuses the request if it can't.
 func (j *job) reserve(ctx context.Context) bool {
 	if j.workspace == nil || j.workspace.Prepaid == nil || j.caller.Prompt == nil {
 		return true
@@ -350,7 +368,7 @@
 	r, err := j.f.Rights.Reserve(ctx, j.workspace.Name, j.caller.Prompt.In+j.caller.Prompt.Out)
 	switch {
 	case err == nil:
-		j.reserved = r
+		j.reservation = r
 		return true
 	case errors.Is(err, ErrSpent):
 		return j.fail(http.StatusPaymentRequired, "prepaid total is spent")
@@ -359,59 +377,61 @@
 		if !errors.As(err, &out) {
 			return j.refuse(http.StatusServiceUnavailable, err.Error())
 		}
-		return j.refuseFor(max(out.After, comeBack), http.StatusServiceUnavailable, err.Error())
+		return j.refuseFor(max(out.After, retryDelay), http.StatusServiceUnavailable, err.Error())
 	}
 }
 
-// refuse says that the request has not run, and that it may come back soon.
-func (j *job) refuse(status int, why string) bool {
-	return j.refuseFor(comeBack, status, why)
+// refuse answers that the request has not run and may soon be sent again.
+func (j *job) refuse(status int, reason string) bool {
+	return j.refuseFor(retryDelay, status, reason)
 }
 
-// refuseFor says that the request has not run, and after what time it should come
-// back, spread so that those refused together don't come back together.
-func (j *job) refuseFor(after time.Duration, status int, why string) bool {
+// refuseFor answers that the request has not run and after what time to send it again. A
+// random delay spreads the callers that are refused together.
+func (j *job) refuseFor(after time.Duration, status int, reason string) bool {
 	if j.mayHaveRun {
-		return j.fail(http.StatusBadGateway, why)
+		return j.fail(http.StatusBadGateway, reason)
 	}
-	j.f.Wire.RetryAfter(j.w.Header(), after+rand.N(comeBackSpread))
-	return j.fail(status, why)
+	j.f.Wire.RetryAfter(j.w.Header(), after+rand.N(retryJitter))
+	return j.fail(status, reason)
 }
 
-// fail gives the final answer where no endpoint's is to be had.
-func (j *job) fail(status int, why string) bool {
-	j.log(status, why)
-	if j.began {
-		// The caller has part of an answer; only a broken connection tells it
-		// that the rest is missing.
+// fail gives a final answer of the router itself.
+func (j *job) fail(status int, reason string) bool {
+	j.logEnd(status, reason)
+	if j.headSent {
+		// The caller has received part of an answer. Only an aborted connection shows that
+		// the rest is missing.
 		panic(http.ErrAbortHandler)
 	}
 	h := j.w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	j.w.WriteHeader(status)
-	_, _ = io.WriteString(j.w, why+"\n")
+	_, _ = io.WriteString(j.w, reason+"\n")
 	return false
 }
 
-// late names what made an answer miss its route's objective, or returns "".
-func (j *job) late() string {
+// missedObjective names the latency by which the answer missed its route's objective, or
+// returns "".
+func (j *job) missedObjective() string {
 	switch {
 	case j.route == nil || j.route.Objective <= 0:
 		return ""
-	case j.events > 0 && j.first > j.route.Objective:
+	case j.events > 0 && j.firstEvent > j.route.Objective:
 		return "first event"
-	case j.events > 0 && j.route.Pause > 0 && j.pause > j.route.Pause:
+	case j.events > 0 && j.route.Pause > 0 && j.longestPause > j.route.Pause:
 		return "pause"
-	case j.events == 0 && time.Since(j.begun) > j.route.Objective:
+	case j.events == 0 && time.Since(j.startedAt) > j.route.Objective:
 		return "answer"
 	}
 	return ""
 }
 
-func (j *job) log(status int, why string) {
+// logEnd counts and logs the final answer; status 0 stands for a caller who disconnected.
+func (j *job) logEnd(status int, reason string) {
 	j.countEnd(status)
 	fields := []zap.Field{
-		zap.String("request", j.caller.ID), zap.Int("status", status), zap.Duration("took", time.Since(j.begun)),
+		zap.String("request", j.caller.ID), zap.Int("status", status), zap.Duration("took", time.Since(j.startedAt)),
 		zap.Stringers("endpoints", j.tried),
 	}
 	if j.route != nil {
@@ -420,24 +440,24 @@
 	if j.workspace != nil {
 		fields = append(fields, zap.String("workspace", j.workspace.Name))
 	}
-	if j.reserved != nil {
-		fields = append(fields, zap.Int64("tokens", j.spent()))
+	if j.reservation != nil {
+		fields = append(fields, zap.Int64("tokens", j.spentTokens()))
 	}
 	if j.events > 0 {
-		fields = append(fields, zap.Duration("first", j.first), zap.Duration("predicted", j.predicted),
-			zap.Duration("pause", j.pause), zap.Int("events", j.events), zap.Int64("unread", j.unread))
+		fields = append(fields, zap.Duration("first", j.firstEvent), zap.Duration("predicted", j.predictedFirstEvent),
+			zap.Duration("pause", j.longestPause), zap.Int("events", j.events), zap.Int64("unread", j.uncachedTokens))
 	}
 	if p := j.caller.Prompt; p != nil {
 		fields = append(fields, zap.Int64("prompt", p.In))
 	}
-	if l := j.late(); l != "" {
+	if l := j.missedObjective(); l != "" {
 		fields = append(fields, zap.String("late", l))
 	}
 	if j.suspected {
-		fields = append(fields, zap.Stringer("content", j.content))
+		fields = append(fields, zap.Stringer("content", j.fingerprint))
 	}
-	if why != "" {
-		fields = append(fields, zap.String("why", why))
+	if reason != "" {
+		fields = append(fields, zap.String("why", reason))
 	}
 	if j.index != nil {
 		fields = append(fields, zap.Uint64("configuration", j.index.Number()))
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -14,84 +14,86 @@
 
 const (
 	relayBuffer = 4 << 10
-	// eventMost bounds one event, in bytes.
-	eventMost = 1 << 20
+	// maxEventBytes is the limit on the size of one event.
+	maxEventBytes = 1 << 20
 )
 
-// relay passes events on as they come. An event that breaks off is held back,
-// so that the stream can go on elsewhere after the last whole one.
-func (j *job) relay(ctx context.Context, a *pooler.Answer, work *predictor.Work) outcome {
+// relay passes events on as they arrive. An incomplete event is held back, so that the
+// stream can be resumed at another endpoint after the last complete one.
+func (j *job) relay(ctx context.Context, a *pooler.Answer, assignment *predictor.Work) outcome {
 	events := bufio.NewReaderSize(a.Body, relayBuffer)
 	for {
 		event, err := readEvent(events)
 		if len(event) > 0 && err == nil {
-			j.pace(time.Now(), work)
+			j.recordEvent(time.Now(), assignment)
 			if !j.passEvent(a, event, !holdsEvent(events)) {
-				j.log(0, "caller gone")
+				j.logEnd(0, "caller gone")
 				panic(http.ErrAbortHandler)
 			}
 			continue
 		}
 		if err == io.EOF && a.Ended() && len(event) == 0 && !a.Unframed {
-			j.succeeded(a.Status, work.Endpoint())
-			j.begin(a)
-			j.log(a.Status, "")
-			return done
+			j.recordSuccess(a.Status, assignment.Endpoint())
+			j.sendHead(a)
+			j.logEnd(a.Status, "")
+			return outcomeDone
 		}
-		return j.torn(ctx, a, work, event, err)
+		return j.handleBrokenOff(ctx, a, assignment, event, err)
 	}
 }
 
-// torn ends a stream that broke off.
-func (j *job) torn(ctx context.Context, a *pooler.Answer, work *predictor.Work, event []byte, err error) outcome {
-	if err == io.EOF && a.Unframed && len(event) == 0 && j.began {
-		// Without a length, the end of the connection is the end of the answer.
-		j.log(a.Status, "unframed")
-		return done
+// handleBrokenOff handles a stream that ended before its final event.
+func (j *job) handleBrokenOff(ctx context.Context, a *pooler.Answer, assignment *predictor.Work, event []byte, err error) outcome {
+	if err == io.EOF && a.Unframed && len(event) == 0 && j.headSent {
+		// Without a length or chunks, the end of the connection is the end of the answer.
+		j.logEnd(a.Status, "unframed")
+		return outcomeDone
 	}
-	j.why = "stream broken off"
+	j.reason = "stream broken off"
 	if err != nil {
-		j.why += ": " + err.Error()
+		j.reason += ": " + err.Error()
 	}
-	j.blame(ctx, work.Endpoint())
-	return lost
+	j.recordFailure(ctx, assignment.Endpoint())
+	return outcomeLost
 }
 
-// begin sends the head of the first endpoint's answer, once. It waits for the
-// first whole event: a stream that breaks off before that can still be
-// answered by another endpoint, or by a failure that bears no signature.
-func (j *job) begin(a *pooler.Answer) {
-	if j.began {
+// sendHead sends the head of the first endpoint's answer, once. It is called at the first
+// complete event: until then, a stream that breaks off can still be replaced by another
+// endpoint's answer, or by an error without signature.
+func (j *job) sendHead(a *pooler.Answer) {
+	if j.headSent {
 		return
 	}
-	j.began = true
-	j.head(a, false)
+	j.headSent = true
+	j.copyHeader(a, false)
 	j.w.Header().Del("Content-Length")
 	j.w.WriteHeader(a.Status)
 }
 
-// pace notes how long the first event and the longest pause took.
-func (j *job) pace(now time.Time, work *predictor.Work) {
+// recordEvent updates the latency figures of the stream with the arrival of an event.
+func (j *job) recordEvent(now time.Time, assignment *predictor.Work) {
 	if j.events == 0 {
-		j.first, j.predicted = now.Sub(j.begun), work.Predicted()
-		j.unread = work.Unread()
+		j.firstEvent, j.predictedFirstEvent = now.Sub(j.startedAt), assignment.Predicted()
+		j.uncachedTokens = assignment.Unread()
 	} else {
-		j.pause = max(j.pause, now.Sub(j.eventAt))
+		j.longestPause = max(j.longestPause, now.Sub(j.lastEventAt))
 	}
-	work.First(now)
+	assignment.First(now)
 	j.events++
-	j.eventAt = now
+	j.lastEventAt = now
 }
 
-// passEvent passes a whole event on, at once with flush, and otherwise with the next one.
+// passEvent passes on a complete event, immediately if flush is set and otherwise together
+// with the next one.
 func (j *job) passEvent(a *pooler.Answer, event []byte, flush bool) bool {
-	j.begin(a)
+	j.sendHead(a)
 	if id, ok := eventID(event); ok {
-		j.lastEvent = id
+		j.lastEventID = id
 	}
-	// Counted before it is written: a caller that has read it has had it.
+	// Counted before the write: a caller that has received the event must be charged for
+	// it.
 	if e := j.service.Engine; e != nil {
-		j.delivered += max(e.Stride, 1)
+		j.deliveredTokens += max(e.Stride, 1)
 	}
 	if _, err := j.w.Write(event); err != nil {
 		return false
@@ -102,20 +104,20 @@
 	return true
 }
 
-// holdsEvent reports whether another whole event has been received already.
+// holdsEvent reports whether another complete event is in the buffer.
 func holdsEvent(r *bufio.Reader) bool {
 	b, err := r.Peek(r.Buffered())
 	return err == nil && (bytes.Contains(b, []byte("\n\n")) || bytes.Contains(b, []byte("\r\n\r\n")))
 }
 
-// readEvent returns the bytes up to and with the empty line that ends an
-// event. With an error, the bytes are those of an event that broke off.
+// readEvent returns the bytes of an event, including the empty line that ends it. If there
+// is an error, the event is incomplete.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
 		line, err := r.ReadSlice('\n')
 		event = append(event, line...)
-		if err == bufio.ErrBufferFull && len(event) < eventMost {
+		if err == bufio.ErrBufferFull && len(event) < maxEventBytes {
 			continue
 		}
 		if err != nil {
--- a/forwarder/world_test.go
+++ b/forwarder/testrouter_test.go
@@ -27,20 +27,20 @@
 
 const signature = "Rattanhoist-Response-Signature"
 
-// script answers one request on a raw connection; it returns false to close
-// the connection.
+// script answers one request on a raw connection. It returns false to close the connection.
 type script func(c net.Conn, r *http.Request, body string) bool
 
-// endpoint is a scripted back end.
+// endpoint is a server that answers with scripts.
 type endpoint struct {
 	listener net.Listener
 	mu       sync.Mutex
 	scripts  []script
-	got      []*http.Request
+	received []*http.Request
 	bodies   []string
 }
 
-// newEndpoint plays the scripts in turn, and the last one again and again.
+// newEndpoint starts an endpoint that runs the scripts in turn, and the last one
+// repeatedly.
 func newEndpoint(t *testing.T, scripts ...script) *endpoint {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -77,7 +77,7 @@
 		if len(e.scripts) > 1 {
 			e.scripts = e.scripts[1:]
 		}
-		e.got = append(e.got, r)
+		e.received = append(e.received, r)
 		e.bodies = append(e.bodies, string(body))
 		e.mu.Unlock()
 		if !s(c, r, string(body)) {
@@ -89,11 +89,12 @@
 func (e *endpoint) requests() []*http.Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]*http.Request{}, e.got...)
+	return append([]*http.Request{}, e.received...)
 }
 
-// says writes a text with ID replaced by the request's id.
-func says(parts ...string) script {
+// responds returns a script that writes the given texts, with ID replaced by the request's
+// id. The texts "close" and "reset" end the connection.
+func responds(parts ...string) script {
 	return func(c net.Conn, r *http.Request, _ string) bool {
 		for _, p := range parts {
 			if p == "close" {
@@ -111,16 +112,16 @@
 }
 
 const (
-	headOK  = "HTTP/1.1 200 OK\r\nRattanhoist-Request-Id: ID\r\n" + signature + ": s1\r\n"
-	whole   = headOK + "Content-Length: 5\r\n\r\nhello"
-	events  = headOK + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	ending  = "0\r\n\r\n"
-	notRun  = "HTTP/1.1 503 Service Unavailable\r\nRattanhoist-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
-	broken  = "HTTP/1.1 500 Internal Server Error\r\nRattanhoist-Request-Id: ID\r\n" + signature + ": s1\r\nContent-Length: 3\r\n\r\nbad"
-	seconds = 10 * time.Second
+	headOK       = "HTTP/1.1 200 OK\r\nRattanhoist-Request-Id: ID\r\n" + signature + ": s1\r\n"
+	answerOK     = headOK + "Content-Length: 5\r\n\r\nhello"
+	streamHead   = headOK + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	streamEnd    = "0\r\n\r\n"
+	answerNotRun = "HTTP/1.1 503 Service Unavailable\r\nRattanhoist-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+	answerFailed = "HTTP/1.1 500 Internal Server Error\r\nRattanhoist-Request-Id: ID\r\n" + signature + ": s1\r\nContent-Length: 3\r\n\r\nbad"
+	budgetWindow = 10 * time.Second
 )
 
-// event returns a chunk with one whole event.
+// event returns an HTTP chunk that contains one event.
 func event(id string) string {
 	e := "id: " + id + "\ndata: x\n\n"
 	return chunk(e)
@@ -131,7 +132,7 @@
 	return string([]byte{digits[len(s)/16], digits[len(s)%16]}) + "\r\n" + s + "\r\n"
 }
 
-// rightsStub grants everything and notes what was spent.
+// rightsStub grants every reservation unless err is set, and records the spent tokens.
 type rightsStub struct {
 	mu    sync.Mutex
 	spent []int64
@@ -166,18 +167,18 @@
 }
 func (f fleetStub) Partial() bool { return false }
 
-// world is one router before scripted endpoints.
-type world struct {
-	server *httptest.Server
-	rights *rightsStub
-	table  *predictor.Table
-	pool   *pooler.Pool
-	held   *quarantineStub
-	// Admission admits everything until a test changes that.
+// testRouter is a router in front of scripted endpoints.
+type testRouter struct {
+	server     *httptest.Server
+	rights     *rightsStub
+	table      *predictor.Table
+	pool       *pooler.Pool
+	quarantine *quarantineStub
+	// admission admits every request until a test changes that.
 	admission *admissionStub
 }
 
-// admissionStub is the load of the router itself.
+// admissionStub sets the load of the router itself.
 type admissionStub struct{ full, overloaded bool }
 
 func (a *admissionStub) Admit(time.Time, int64) bool { return !a.full }
@@ -197,26 +198,26 @@
 		Routes: []publisher.Route{
 			route("read", "/read/", publisher.Idempotent, false), route("once", "/once/", publisher.Once, false),
 			route("stream", "/stream/", publisher.Stream, false), route("resume", "/resume/", publisher.Stream, true),
-			bound(route("north", "/north/", publisher.Idempotent, false), "north"), bound(route("nowhere", "/nowhere/", publisher.Idempotent, false), "nowhere"),
+			restrictedTo(route("north", "/north/", publisher.Idempotent, false), "north"), restrictedTo(route("nowhere", "/nowhere/", publisher.Idempotent, false), "nowhere"),
 		},
 		Services:   []publisher.Service{{Name: "engine", Connections: 50, Engine: &publisher.Engine{Stride: 6, Slots: 8}}},
 		Workspaces: []publisher.Workspace{{Name: "labone", Keys: []string{"k1"}, Prepaid: &prepaid}},
 	}
 }
 
-func bound(r publisher.Route, region string) publisher.Route {
+func restrictedTo(r publisher.Route, region string) publisher.Route {
 	r.Regions = []string{region}
 	return r
 }
 
-// newWorld puts the endpoints in zone z.
-func newWorld(t *testing.T, endpoints ...*endpoint) *world {
-	return newWorldIn(t, func(int) string { return "z" }, endpoints...)
+// newTestRouter starts a router whose endpoints are all in zone z.
+func newTestRouter(t *testing.T, endpoints ...*endpoint) *testRouter {
+	return newTestRouterInZones(t, func(int) string { return "z" }, endpoints...)
 }
 
-func newWorldIn(t *testing.T, zone func(int) string, endpoints ...*endpoint) *world {
-	w := &world{
-		rights: &rightsStub{}, table: predictor.NewTable("z"), pool: pooler.New(platform.Belongs, func() {}), held: &quarantineStub{},
+func newTestRouterInZones(t *testing.T, zone func(int) string, endpoints ...*endpoint) *testRouter {
+	w := &testRouter{
+		rights: &rightsStub{}, table: predictor.NewTable("z"), pool: pooler.New(platform.Belongs, func() {}), quarantine: &quarantineStub{},
 		admission: &admissionStub{},
 	}
 	var list []*predictor.Endpoint
@@ -228,23 +229,23 @@
 	w.table.Replace(map[string][]*predictor.Endpoint{"engine": list})
 	f := forwarder.New(forwarder.Parts{
 		Wire: platform.Wire{}, Fleet: fleetStub{publisher.NewIndex(document(), localizer.New(map[string]string{"z": "north"}))}, Table: w.table,
-		Pool: w.pool, Rights: w.rights, Quarantine: w.held, Admission: w.admission, Log: zap.NewNop(),
-		Limiter: limiter.New(limiter.Budget{Ratio: 1, Slack: 50, Window: seconds}, time.Now()),
+		Pool: w.pool, Rights: w.rights, Quarantine: w.quarantine, Admission: w.admission, Log: zap.NewNop(),
+		Limiter: limiter.New(limiter.Budget{Ratio: 1, Slack: 50, Window: budgetWindow}, time.Now()),
 	})
 	w.server = httptest.NewServer(f)
 	t.Cleanup(w.server.Close)
 	return w
 }
 
-type reply struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-// ask sends one request and reads its whole answer.
-func (w *world) ask(t *testing.T, method, path, body string, header ...string) reply {
+// send sends one request and reads the complete answer.
+func (w *testRouter) send(t *testing.T, method, path, body string, header ...string) response {
 	r, err := http.NewRequestWithContext(t.Context(), method, w.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
@@ -258,24 +259,24 @@
 	}
 	a, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	defer a.Body.Close()
 	b, err := io.ReadAll(a.Body)
-	return reply{status: a.StatusCode, header: a.Header, body: string(b), err: err}
+	return response{status: a.StatusCode, header: a.Header, body: string(b), err: err}
 }
 
-// quarantineStub notes what it is told.
+// quarantineStub records its calls.
 type quarantineStub struct {
 	mu               sync.Mutex
 	broken, answered []quarantiner.Fingerprint
-	held             time.Duration
+	heldFor          time.Duration
 }
 
 func (q *quarantineStub) Held(quarantiner.Fingerprint) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.held
+	return q.heldFor
 }
 
 func (q *quarantineStub) Answered(f quarantiner.Fingerprint) {
--- a/forwarder/wire.go
+++ b/forwarder/wire.go
@@ -1,5 +1,5 @@
-// Package forwarder takes opaque HTTP requests in, sends each to an endpoint
-// of its route's service and passes the answer back whole and unchanged.
+// Package forwarder forwards opaque HTTP requests to endpoints of their route's service and
+// passes the answers back complete and unchanged.
 package forwarder
 
 import (
@@ -9,56 +9,62 @@
 	"rattanhoist.example/rattanhoist/predictor"
 )
 
-// Caller is what a request's header says, beside what is passed on.
+// Caller is the information in the header of a caller's request.
 type Caller struct {
-	// ID names the caller's attempt.
+	// ID identifies the caller's attempt.
 	ID string
-	// Key shows whose workspace pays; "" where none was sent.
+	// Key identifies the workspace that pays; "" if none was sent.
 	Key string
-	// Deadline is how long the caller waits; 0 where it didn't say.
+	// Deadline is how long the caller waits; 0 if not stated.
 	Deadline time.Duration
 	// Prompt is nil for plain requests.
 	Prompt *predictor.Prompt
 }
 
-// Stamp is what the system itself tells the endpoint.
+// EndpointFields holds the values that the router itself sends to the endpoint in the
+// request's header.
 type Stamp struct {
-	// Deadline is what is left of it.
+	// Deadline is the time that is left for the answer.
 	Deadline time.Duration
-	// Endpoint is the incarnation that the request is meant for.
+	// Endpoint is the id of the endpoint that the request is meant for.
 	Endpoint string
 	// Workspace is "" on routes without keys.
 	Workspace string
-	// Resume is the id of the last whole event passed on, or "".
+	// LastEventID is the id of the last complete event passed on, or "".
 	Resume string
-	// Donor is the address of an endpoint from which to fetch what it keeps of the
+	// CacheSource is the address of an endpoint from which to fetch cached parts of the
 	// prompt, or "".
 	Donor string
-	// Urgency is the rank at the engine, from 0, first, to 9; -1 leaves it out.
+	// Priority is the scheduling priority at the engine, from 0, the most urgent, to 9; -1
+	// omits it.
 	Urgency int
 }
 
-// Marks is what an answer's header says.
+// AnswerFields holds the values in the header of an endpoint's answer.
 type Marks struct {
-	// NotRun says that the endpoint did not run the request and never will.
+	// NotRun is set if the endpoint did not run the request and never will.
 	NotRun bool
-	// Moved says that another incarnation has the address; nothing was run.
+	// Misdirected is set if another incarnation uses the address now; nothing was run.
 	Moved bool
-	// Signed says that the answer bears an endpoint's signature.
+	// Signed is set if the answer has an endpoint's signature.
 	Signed bool
 	// State is what the endpoint reports about itself.
 	predictor.State
 }
 
-// Wire translates headers. It decides nothing.
+// Wire translates HTTP headers. It makes no decisions.
 type Wire interface {
+	// Caller reads a caller's request.
 	Caller(h http.Header) (Caller, error)
-	// Forward returns the header for the endpoint: the caller's without what
-	// concerns one connection or is the system's to set, and the stamp.
+	// EndpointHeader returns the header of the request to the endpoint: the caller's header
+	// without the fields that concern one connection or that only the router may set, plus
+	// the given fields.
 	Forward(h http.Header, s Stamp) http.Header
+	// AnswerFields reads an endpoint's answer.
 	Marks(status int, h http.Header) Marks
-	// Back returns the header for the caller; unsigned takes the signature off.
+	// CallerHeader returns the header of the answer to the caller. If unsigned is set, it removes
+	// the signature.
 	Back(h http.Header, unsigned bool) http.Header
-	// RetryAfter states in h when to come back.
+	// RetryAfter sets the time in h after which to send the request again.
 	RetryAfter(h http.Header, d time.Duration)
 }
