--- a/pooler/exchange.go
+++ b/pooler/exchange.go
@@ -13,50 +13,50 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Request is one request to an endpoint.
+// Request is an HTTP request to an endpoint.
 type Request struct {
 	Method string
-	// URI is the path and query, sent as they are.
+	// URI is the path and query, sent unchanged.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID is what the answer must carry.
+	// ID is the request id that the answer must contain.
 	ID string
 }
 
-// straysMost bounds the answers of earlier requests that are passed over
-// before the request's own.
-const straysMost = 2
+// maxStrayAnswers is the number of answers to earlier requests that are skipped before the
+// request's own answer.
+const maxStrayAnswers = 2
 
-// writeApart is the body size from which writing and reading go on at the same
-// time: smaller ones fit into the socket's buffer, and larger ones would wait
-// for an endpoint that has answered early and reads no more.
-const writeApart = 8 << 10
+// concurrentWriteBytes is the body size from which a request is written while the
+// answer is read. Smaller bodies fit into the socket's buffer; writing larger ones would
+// block if the endpoint has answered early and stopped reading.
+const concurrentWriteBytes = 8 << 10
 
-// Answer is an endpoint's answer; Close must be called once.
+// Answer is an endpoint's answer. Close must be called once.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Body ends with an error if the answer was cut off.
+	// Body returns an error if the answer was cut off.
 	Body io.Reader
-	// Length is -1 where it isn't known beforehand.
+	// Length is the length of the body, or -1 if it isn't known beforehand.
 	Length int64
-	// Unframed answers end with their connection.
+	// CloseDelimited is set if the end of the connection marks the end of the answer.
 	Unframed bool
 
-	pool    *Pool
-	conn    *conn
-	stop    func() bool
-	keep    time.Duration
-	ended   bool
-	written *atomic.Bool
+	pool             *Pool
+	conn             *conn
+	stopContextClose func() bool
+	reuseTimeout     time.Duration
+	complete         bool
+	written          *atomic.Bool
 }
 
-// Exchange sends a request and returns the head of its answer. An error is
-// ErrNotSent, ErrBound or ErrMayHaveRun.
+// Exchange sends a request and returns its answer once the head has arrived. Errors are
+// ErrNotSent, ErrConnectionLimit or ErrMayHaveRun.
 func (p *Pool) Exchange(ctx context.Context, t Target, r *Request) (*Answer, error) {
-	c, err := p.take(t, time.Now())
+	c, err := p.acquire(t, time.Now())
 	if err != nil {
 		return nil, err
 	}
@@ -66,26 +66,28 @@
 		}
 	}
 	if ctx.Err() != nil {
-		p.put(c, keepLeast)
+		p.release(c, minReuseTimeout)
 		return nil, merry.Errorf("%w: %s", ErrNotSent, ctx.Err().Error())
 	}
-	// Closing ends reads and writes at once and tells the endpoint to stop.
+	// Closing the connection ends reads and writes at once and tells the endpoint to stop.
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	a, err := p.exchange(c, r)
 	if err != nil {
 		stop()
-		p.drop(c)
+		p.discard(c)
 		return nil, merry.Errorf("%w: %s", ErrMayHaveRun, err.Error())
 	}
-	a.stop = stop
+	a.stopContextClose = stop
 	return a, nil
 }
 
+// exchange writes a request to a connection and reads the head of its answer. Large bodies
+// are written concurrently.
 func (p *Pool) exchange(c *conn, r *Request) (*Answer, error) {
 	written := &atomic.Bool{}
-	head := r.head()
-	p.sent(len(head) + len(r.Body))
-	if len(r.Body) < writeApart {
+	head := r.encodeHead()
+	p.recordSent(len(head) + len(r.Body))
+	if len(r.Body) < concurrentWriteBytes {
 		if _, err := c.Write(append(head, r.Body...)); err != nil {
 			return nil, err
 		}
@@ -96,15 +98,16 @@
 			if err == nil {
 				_, err = c.Write(r.Body)
 			}
-			// The reader sees a broken connection by itself; written stays
-			// false, so the connection is not used again.
+			// After an error, written stays false, so that the connection is not reused.
+			// The reader detects the broken connection by itself.
 			written.Store(err == nil)
 		}()
 	}
 	return p.readHead(c, r, written)
 }
 
-func (r *Request) head() []byte {
+// encodeHead returns the request line and the header.
+func (r *Request) encodeHead() []byte {
 	var b bytes.Buffer
 	b.Grow(512)
 	b.WriteString(r.Method + " " + r.URI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
@@ -120,9 +123,11 @@
 	return b.Bytes()
 }
 
+// readHead reads the head of the request's own answer. It skips interim answers and a few
+// answers to earlier requests.
 func (p *Pool) readHead(c *conn, r *Request, written *atomic.Bool) (*Answer, error) {
 	request := &http.Request{Method: r.Method}
-	for range straysMost + 1 {
+	for range maxStrayAnswers + 1 {
 		h, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
@@ -130,11 +135,11 @@
 		if h.StatusCode < http.StatusOK {
 			continue
 		}
-		belongs := p.belongs(h.Header, r.ID)
-		if belongs == Own || belongs == Unnamed && h.StatusCode >= http.StatusMultipleChoices {
-			return p.answer(c, h, written), nil
+		match := p.match(h.Header, r.ID)
+		if match == Own || match == Unnamed && h.StatusCode >= http.StatusMultipleChoices {
+			return p.newAnswer(c, h, written), nil
 		}
-		if belongs == Unnamed || h.Close || h.ContentLength < 0 && len(h.TransferEncoding) == 0 {
+		if match == Unnamed || h.Close || h.ContentLength < 0 && len(h.TransferEncoding) == 0 {
 			return nil, merry.New("answer of another request")
 		}
 		if _, err := io.Copy(io.Discard, h.Body); err != nil {
@@ -144,54 +149,57 @@
 	return nil, merry.New("only answers of other requests")
 }
 
-func (p *Pool) answer(c *conn, h *http.Response, written *atomic.Bool) *Answer {
+// newAnswer returns the answer whose head was read from a connection.
+func (p *Pool) newAnswer(c *conn, h *http.Response, written *atomic.Bool) *Answer {
 	a := &Answer{
 		Status: h.StatusCode, Header: h.Header, Length: h.ContentLength,
 		Unframed: h.ContentLength < 0 && len(h.TransferEncoding) == 0,
 		pool:     p, conn: c, written: written,
 	}
-	a.Body = &ending{r: h.Body, ended: &a.ended}
+	a.Body = &completionReader{reader: h.Body, complete: &a.complete}
 	if !h.Close && !a.Unframed {
-		a.keep = keepOf(h.Header)
+		a.reuseTimeout = reuseTimeout(h.Header)
 	}
 	return a
 }
 
-// keepOf returns how long an idle connection may be used again.
-func keepOf(h http.Header) time.Duration {
+// reuseTimeout returns how long a connection may be reused after an answer with that
+// header.
+func reuseTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		k, v, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if n, err := strconv.Atoi(v); strings.EqualFold(k, "timeout") && err == nil {
-			return time.Duration(n)*time.Second - keepMargin
+			return time.Duration(n)*time.Second - reuseMargin
 		}
 	}
-	return keepDefault
+	return defaultReuseTimeout
 }
 
-// ending notes whether a body was read to its proper end.
-type ending struct {
-	r     io.Reader
-	ended *bool
+// completionReader records whether a body was read to its regular end.
+type completionReader struct {
+	reader   io.Reader
+	complete *bool
 }
 
-func (e *ending) Read(b []byte) (int, error) {
-	n, err := e.r.Read(b)
+// Read reads from the body.
+func (e *completionReader) Read(b []byte) (int, error) {
+	n, err := e.reader.Read(b)
 	if err == io.EOF {
-		*e.ended = true
+		*e.complete = true
 	}
 	return n, err
 }
 
-// Ended reports whether the body was read to its proper end.
-func (a *Answer) Ended() bool { return a.ended }
+// Complete reports whether the body was read to its regular end.
+func (a *Answer) Ended() bool { return a.complete }
 
-// Close gives the connection back if the answer was read to its end and the
-// request was written whole, and closes it otherwise.
+// Close returns the connection to the pool if the answer was read to its end and the
+// request was written completely. Otherwise it closes the connection.
 func (a *Answer) Close() {
-	running := a.stop()
-	if running && a.ended && a.keep > 0 && a.written.Load() && a.conn.reader.Buffered() == 0 {
-		a.pool.put(a.conn, a.keep)
+	running := a.stopContextClose()
+	if running && a.complete && a.reuseTimeout > 0 && a.written.Load() && a.conn.reader.Buffered() == 0 {
+		a.pool.release(a.conn, a.reuseTimeout)
 		return
 	}
-	a.pool.drop(a.conn)
+	a.pool.discard(a.conn)
 }
--- a/pooler/pooler.go
+++ b/pooler/pooler.go
@@ -1,6 +1,5 @@
-// Package pooler keeps HTTP/1.1 connections to endpoints and sends one request
-// at a time on each. It never repeats anything by itself, and it tells how far
-// a failed request came: that decides whether it may have run.
+// Package pooler keeps HTTP/1.1 connections to endpoints and sends one request at a time on
+// each. It never retries a request. Its errors tell whether a failed request may have run.
 package pooler
 
 import (
@@ -18,81 +17,80 @@
 
 // Errors of an exchange. Compare with errors.Is.
 var (
-	// ErrNotSent says that no byte of the request went out.
+	// ErrNotSent means that no byte of the request was sent.
 	ErrNotSent = merry.Sentinel("request not sent")
-	// ErrMayHaveRun says that the request went out, at least in part, and that
-	// its outcome is unknown.
+	// ErrMayHaveRun means that the request was sent, at least in part, and that its outcome
+	// is unknown.
 	ErrMayHaveRun = merry.Sentinel("request sent, outcome unknown")
-	// ErrBound says that the endpoint has all the connections that this
-	// router may open. Nothing was sent.
+	// ErrConnectionLimit means that this router may not open more connections to the
+	// endpoint. Nothing was sent.
 	ErrBound = merry.Sentinel("connection bound reached")
 )
 
 const (
-	// minDialTimeout is far above a round trip between availability zones and
-	// below the first repeat of a lost opening packet, which comes after 1 s. While bytes
-	// wait at the VM's own link it is longer, up to maxDialTimeout.
+	// minDialTimeout is far above a round trip between availability zones and below the
+	// first retransmission of a lost SYN packet, which comes after 1 s. While bytes are
+	// queued at the VM's own network link, the timeout is longer, up to maxDialTimeout.
 	minDialTimeout = 400 * time.Millisecond
 	maxDialTimeout = 900 * time.Millisecond
-	// ackTimeout ends a connection whose bytes nobody acknowledges: several
-	// retransmissions, and less than what callers of a stream wait.
+	// ackTimeout ends a connection whose bytes are not acknowledged. It allows for several
+	// retransmissions and is shorter than the time that callers wait for a stream.
 	ackTimeout = 1500 * time.Millisecond
-	// probeIdle and probeEvery find a peer that fell silent with nothing of
-	// ours to acknowledge, at the same pace.
-	probeIdle  = 1 * time.Second
-	probeEvery = 500 * time.Millisecond
-	probeCount = 2
-	// keepDefault is how long an idle connection is used again where the
-	// endpoint doesn't state its timeout.
-	keepDefault = 4 * time.Second
-	// keepMargin is how long before the stated timeout a connection is given
-	// up: a request that crosses the endpoint's close may or may not run.
-	keepMargin = 1 * time.Second
-	// keepLeast is the shortest time that a connection is kept at all.
-	keepLeast  = 500 * time.Millisecond
-	bufferSize = 4 << 10
+	// Keepalive probes detect a peer that disappeared while it had nothing to acknowledge,
+	// about as fast as ackTimeout does.
+	keepAliveIdle     = 1 * time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 2
+	// defaultReuseTimeout is how long an idle connection may be reused if the endpoint
+	// doesn't state a timeout.
+	defaultReuseTimeout = 4 * time.Second
+	// reuseMargin is how long before the stated timeout a connection is no longer reused: a
+	// request that arrives while the endpoint closes the connection may or may not run.
+	reuseMargin = 1 * time.Second
+	// minReuseTimeout is the shortest reuse timeout for which a connection is kept.
+	minReuseTimeout = 500 * time.Millisecond
+	bufferSize      = 4 << 10
 )
 
 // Target is the endpoint of an exchange.
 type Target struct {
-	// ID is the incarnation; connections are not shared between two.
+	// ID is the incarnation. Incarnations don't share connections.
 	ID      string
 	Address string
-	// Most is how many connections this router may hold.
+	// MaxConnections is the limit on this router's connections to the endpoint.
 	Most int
 }
 
-// Pool holds the idle connections to all endpoints. It is safe for concurrent
-// use.
+// Pool holds the connections to all endpoints. It is safe for concurrent use.
 type Pool struct {
-	belongs func(http.Header, string) Belonging
-	mu      sync.Mutex
-	peers   map[string]*peer
-	opened  func()
-	link    Link
+	match  func(http.Header, string) Belonging
+	mu     sync.Mutex
+	peers  map[string]*peer
+	opened func()
+	link   Link
 }
 
-// Link is the VM's network link.
+// Link measures the load of the VM's network link.
 type Link interface {
-	// Sent and Received record bytes that were handed to the link and that came in.
+	// Sent and Received record the numbers of bytes sent and received.
 	Sent(now time.Time, n int)
 	Received(now time.Time, n int)
-	// Delay returns how long work is delayed by what waits at the link and the processor.
+	// Delay returns the current delay caused by the load of the link and the processor.
 	Delay(now time.Time) time.Duration
 }
 
-// UseLink makes the pool record what it sends, and wait longer for connections while the
-// link is busy. It must be called before the first exchange.
+// UseLink makes the pool record its traffic, and use longer dial timeouts while the link is
+// busy. It must be called before the first exchange.
 func (p *Pool) UseLink(l Link) { p.link = l }
 
-// sent records bytes written.
-func (p *Pool) sent(n int) {
+// recordSent records bytes written.
+func (p *Pool) recordSent(n int) {
 	if p.link != nil {
 		p.link.Sent(time.Now(), n)
 	}
 }
 
-// recordedReader records what is read from a connection.
+// recordedReader records the bytes read from a connection.
 type recordedReader struct {
 	net.Conn
 	link Link
@@ -107,7 +105,7 @@
 	return n, err
 }
 
-// reader returns what reads from a connection.
+// reader returns the reader of a connection, which records its traffic if there is a link.
 func (p *Pool) reader(c net.Conn) io.Reader {
 	if p.link == nil {
 		return c
@@ -115,7 +113,7 @@
 	return recordedReader{Conn: c, link: p.link}
 }
 
-// dialTimeout returns how long a connection may take to be made.
+// dialTimeout returns the current timeout for opening a connection.
 func (p *Pool) dialTimeout() time.Duration {
 	if p.link == nil {
 		return minDialTimeout
@@ -123,59 +121,63 @@
 	return minDialTimeout + min(2*p.link.Delay(time.Now()), maxDialTimeout-minDialTimeout)
 }
 
+// peer holds the connections to one endpoint.
 type peer struct {
-	// Idle is used as a stack: the connection used last is the least likely
-	// to be closed by the other side.
+	// idle is used as a stack: the most recently used connection is the least likely to be
+	// closed by the other side.
 	idle []*conn
-	// Busy holds the connections with a request under way.
+	// busy holds the connections with a request in progress.
 	busy map[*conn]bool
-	// Open counts idle and busy connections.
+	// open counts the idle and busy connections and those being opened.
 	open int
 }
 
-// Belonging tells whose answer a header is.
+// AnswerMatch tells whether an answer belongs to a request.
 type Belonging int
 
-// Kinds of answers.
+// Results of matching an answer to a request.
 const (
-	// Own answers carry the request's id.
+	// MatchOwn is the match of answers with the request's id.
 	Own Belonging = iota
-	// Stray answers carry another id.
+	// MatchStray is the match of answers with another id.
 	Stray
-	// Unnamed answers carry none.
+	// MatchUnnamed is the match of answers without an id.
 	Unnamed
 )
 
-// New returns a pool. Belongs tells whether the header of an answer belongs to
-// the request with an id; opened is called for each new connection.
-func New(belongs func(h http.Header, id string) Belonging, opened func()) *Pool {
-	return &Pool{belongs: belongs, peers: map[string]*peer{}, opened: opened}
+// New returns a pool. The function match matches the header of an answer to the request
+// with an id; opened is called for each new connection.
+func New(match func(h http.Header, id string) Belonging, opened func()) *Pool {
+	return &Pool{match: match, peers: map[string]*peer{}, opened: opened}
 }
 
+// conn is a connection to an endpoint.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
 	target Target
-	// GoodUntil is when an idle connection is too old to be used.
-	goodUntil time.Time
+	// reusableUntil is when an idle connection becomes too old to be reused.
+	reusableUntil time.Time
 }
 
-// take returns an idle connection that still looks open, or nil with leave to
-// open another.
-func (p *Pool) take(t Target, now time.Time) (*conn, error) {
+// acquire returns an idle connection that appears to be open. It returns nil if the caller
+// should open a new one, which is counted already.
+func (p *Pool) acquire(t Target, now time.Time) (*conn, error) {
 	for {
-		c, err := p.pop(t)
+		c, err := p.popIdle(t)
 		if c == nil || err != nil {
 			return nil, err
 		}
-		if now.Before(c.goodUntil) && c.quiet() {
+		if now.Before(c.reusableUntil) && c.reusable() {
 			return c, nil
 		}
-		p.drop(c)
+		p.discard(c)
 	}
 }
 
-func (p *Pool) pop(t Target) (*conn, error) {
+// popIdle removes the most recently used idle connection and marks it busy. It returns nil
+// if there is none, and counts a connection to be opened instead.
+func (p *Pool) popIdle(t Target) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	x := p.peers[t.ID]
@@ -196,9 +198,9 @@
 	return nil, nil
 }
 
-// quiet reports whether an idle connection is open and silent. Bytes that came
-// unasked belong to no request; the next answer could not be told from them.
-func (c *conn) quiet() bool {
+// reusable reports whether an idle connection is open and has no unread bytes. Unsolicited
+// bytes belong to no request and could not be told from the next answer.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -216,18 +218,19 @@
 	return err == nil && silent
 }
 
+// dial opens a connection that popIdle has counted.
 func (p *Pool) dial(ctx context.Context, t Target) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout())
 	defer cancel()
 	d := net.Dialer{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(setAckTimeout)
 		},
 	}
 	c, err := d.DialContext(ctx, "tcp", t.Address)
 	if err != nil {
-		p.closed(t.ID)
+		p.uncount(t.ID)
 		return nil, err
 	}
 	p.opened()
@@ -243,23 +246,26 @@
 // tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
 const tcpUserTimeout = 0x12
 
+// setAckTimeout sets ackTimeout on a socket.
 func setAckTimeout(fd uintptr) {
-	// Without it the connection hangs for minutes after a silent loss; the
+	// If the option can't be set, the connection hangs for minutes after a silent loss. The
 	// caller's deadline still ends the request.
 	_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(ackTimeout.Milliseconds()))
 }
 
-func (p *Pool) drop(c *conn) {
+// discard closes a connection and removes it from the pool.
+func (p *Pool) discard(c *conn) {
 	_ = c.Close()
 	p.mu.Lock()
 	if x := p.peers[c.target.ID]; x != nil {
 		delete(x.busy, c)
 	}
 	p.mu.Unlock()
-	p.closed(c.target.ID)
+	p.uncount(c.target.ID)
 }
 
-func (p *Pool) closed(id string) {
+// uncount removes a closed connection from the count of an endpoint.
+func (p *Pool) uncount(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if x := p.peers[id]; x != nil {
@@ -270,12 +276,14 @@
 	}
 }
 
-func (p *Pool) put(c *conn, keep time.Duration) {
-	if keep < keepLeast {
-		p.drop(c)
+// release makes a connection idle, to be reused within the timeout. It discards the
+// connection if that is shorter than minReuseTimeout.
+func (p *Pool) release(c *conn, timeout time.Duration) {
+	if timeout < minReuseTimeout {
+		p.discard(c)
 		return
 	}
-	c.goodUntil = time.Now().Add(keep)
+	c.reusableUntil = time.Now().Add(timeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if x := p.peers[c.target.ID]; x != nil {
@@ -284,7 +292,7 @@
 	}
 }
 
-// Forget closes the idle connections to an endpoint.
+// CloseIdle closes the idle connections to an endpoint.
 func (p *Pool) Forget(id string) {
 	p.mu.Lock()
 	var idle []*conn
@@ -293,32 +301,32 @@
 	}
 	p.mu.Unlock()
 	for _, c := range idle {
-		p.drop(c)
+		p.discard(c)
 	}
 }
 
-// End closes all connections to an endpoint whose process is known to have
-// ended. What was under way there may have run.
+// CloseAll closes all connections to an endpoint whose process is known to have ended.
+// Requests in progress there may have run.
 func (p *Pool) End(id string) {
 	p.Forget(id)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if x := p.peers[id]; x != nil {
 		for c := range x.busy {
-			// The exchange that holds it drops it.
+			// The exchange that uses the connection discards it.
 			_ = c.Close()
 		}
 	}
 }
 
-// Sweep closes idle connections that are too old to be used.
+// CloseExpired closes idle connections that are too old to be reused.
 func (p *Pool) Sweep(now time.Time) {
 	var old []*conn
 	p.mu.Lock()
 	for _, x := range p.peers {
 		keep := x.idle[:0]
 		for _, c := range x.idle {
-			if now.Before(c.goodUntil) {
+			if now.Before(c.reusableUntil) {
 				keep = append(keep, c)
 			} else {
 				old = append(old, c)
@@ -328,6 +336,6 @@
 	}
 	p.mu.Unlock()
 	for _, c := range old {
-		p.drop(c)
+		p.discard(c)
 	}
 }
