--- a/localizer/localizer.go
+++ b/localizer/localizer.go
@@ -1,5 +1,5 @@
-// Package localizer says in which availability zones a request may be served, where its
-// route or its workspace is bound to regions.
+// Package localizer determines the availability zones in which a request may be served, if
+// its route or its workspace is restricted to regions.
 package localizer
 
 import (
@@ -8,23 +8,23 @@
 	"strings"
 )
 
-// Zones are the availability zones that some regions allow; immutable. Nil allows all.
+// Zones is an immutable set of allowed availability zones. Nil allows all zones.
 type Zones struct {
-	// Key is the same for equal zones.
+	// key is the same for equal sets.
 	key     string
 	allowed map[string]bool
 }
 
-// Localizer knows the region of each availability zone; immutable.
+// Localizer maps availability zones to their regions. It is immutable.
 type Localizer struct {
 	regions map[string]string
 }
 
-// New returns a localizer for the regions of zones.
+// New returns a localizer for the given regions of zones.
 func New(regions map[string]string) *Localizer { return &Localizer{regions: regions} }
 
-// Within returns the zones of some regions, nil where no region is named. A zone whose
-// region is not known is in none.
+// InRegions returns the zones in the given regions, or nil if none is given. A zone with an
+// unknown region is in none of them.
 func (l *Localizer) Within(regions []string) *Zones {
 	if len(regions) == 0 {
 		return nil
@@ -38,11 +38,12 @@
 	return newZones(allowed)
 }
 
+// newZones returns the set of the given zones.
 func newZones(allowed map[string]bool) *Zones {
 	return &Zones{key: strings.Join(slices.Sorted(maps.Keys(allowed)), ","), allowed: allowed}
 }
 
-// And returns the zones that both allow.
+// Intersect returns the zones allowed by both sets.
 func (z *Zones) And(o *Zones) *Zones {
 	if z == nil || o == nil || z.key == o.key {
 		if z == nil {
@@ -59,13 +60,13 @@
 	return newZones(allowed)
 }
 
-// Allows reports whether a zone is one of them.
+// Allows reports whether a zone is allowed.
 func (z *Zones) Allows(zone string) bool { return z == nil || z.allowed[zone] }
 
 // Empty reports whether no zone is allowed.
 func (z *Zones) Empty() bool { return z != nil && len(z.allowed) == 0 }
 
-// Key names the zones; "" where all, or none, are allowed.
+// Key identifies the set of zones. It is "" both if all zones and if none are allowed.
 func (z *Zones) Key() string {
 	if z == nil {
 		return ""
--- a/localizer/localizer_test.go
+++ b/localizer/localizer_test.go
@@ -8,7 +8,8 @@
 	"rattanhoist.example/rattanhoist/localizer"
 )
 
-// Guards against an empty list taken for a bound, or a bound that nothing meets for none.
+// Guards against an empty list of regions that allows no zone, and against regions without
+// zones that allow all of them.
 func TestZonesOfRegions(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := localizer.New(map[string]string{"n1": "north", "n2": "north", "s1": "south"})
