--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -1,6 +1,6 @@
-// Package limiter holds one router's part of the fleet's retry budget: in any
-// window, a service must not get more repeats than a share of its requests and
-// a fixed slack, summed over all routers.
+// Package limiter holds one router's share of the fleet's retry budget: within any window,
+// the retries of a service, summed over all routers, must not exceed a fraction of its
+// requests plus a fixed allowance.
 package limiter
 
 import (
@@ -8,32 +8,33 @@
 	"time"
 )
 
-// Budget is the bound that the whole fleet keeps.
+// Budget is the retry budget of the whole fleet.
 type Budget struct {
-	// Ratio is repeats for each request.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Slack is repeats for the whole fleet in one window, beside the ratio.
+	// Slack is the number of retries allowed in a window in addition to the ratio, for the
+	// whole fleet.
 	Slack  float64
 	Window time.Duration
 }
 
 const (
-	// buckets cut the window: the oldest one is counted whole, so at most a
-	// bucket's worth of the window is judged too strictly.
+	// buckets is the number of time buckets in a window. The oldest one is counted
+	// completely, so the budget is too strict by at most one bucket's worth of requests.
 	buckets = 10
-	// part of the budget that is used: routers count requests when they take
-	// them and endpoints when they arrive, and the windows of both differ.
-	part = 0.8
+	// usedFraction is the fraction of the budget that routers use. Routers count requests
+	// when they accept them and endpoints when they arrive, so that their windows differ.
+	usedFraction = 0.8
 )
 
+// counter counts the requests and retries of one service in the buckets of the window.
 type counter struct {
-	requests, repeats [buckets]float64
-	// At is the number of the newest bucket since the start.
-	at int64
+	requests, retries [buckets]float64
+	// newest is the number of the newest bucket since the start.
+	newest int64
 }
 
-// Limiter counts requests and repeats by service. It is safe for concurrent
-// use.
+// Limiter counts requests and retries by service. It is safe for concurrent use.
 type Limiter struct {
 	budget Budget
 	start  time.Time
@@ -42,48 +43,50 @@
 	services map[string]*counter
 }
 
-// New returns a limiter.
+// New returns a limiter with empty counters.
 func New(b Budget, now time.Time) *Limiter {
 	return &Limiter{budget: b, start: now, services: map[string]*counter{}}
 }
 
+// counter returns the counter of a service, with the buckets that have left the window
+// cleared.
 func (l *Limiter) counter(now time.Time, service string) *counter {
 	c := l.services[service]
 	if c == nil {
 		c = &counter{}
 		l.services[service] = c
 	}
-	at := int64(now.Sub(l.start) / (l.budget.Window / buckets))
-	for i := 0; c.at < at && i < buckets; i++ {
-		c.at++
-		c.requests[c.at%buckets], c.repeats[c.at%buckets] = 0, 0
+	current := int64(now.Sub(l.start) / (l.budget.Window / buckets))
+	for i := 0; c.newest < current && i < buckets; i++ {
+		c.newest++
+		c.requests[c.newest%buckets], c.retries[c.newest%buckets] = 0, 0
 	}
-	c.at = max(c.at, at)
+	c.newest = max(c.newest, current)
 	return c
 }
 
-// Request notes a request for a service.
+// RecordRequest records a request for a service.
 func (l *Limiter) Request(now time.Time, service string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.counter(now, service)
-	c.requests[c.at%buckets]++
+	c.requests[c.newest%buckets]++
 }
 
-// Repeat reports whether a request may be sent once more, and if so counts
-// it. Routers share the slack evenly.
+// AllowRetry reports whether a retry is within this router's share of the budget, and
+// counts it if it is. Routers share the slack evenly.
 func (l *Limiter) Repeat(now time.Time, service string, routers int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.counter(now, service)
-	var requests, repeats float64
+	var requests, retries float64
 	for i := range buckets {
 		requests += c.requests[i]
-		repeats += c.repeats[i]
+		retries += c.retries[i]
 	}
-	if repeats+1 > part*(l.budget.Ratio*requests+l.budget.Slack/float64(max(routers, 1))) {
+	if retries+1 > usedFraction*(l.budget.Ratio*requests+l.budget.Slack/float64(max(routers, 1))) {
 		return false
 	}
-	c.repeats[c.at%buckets]++
+	c.retries[c.newest%buckets]++
 	return true
 }
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -9,10 +9,10 @@
 	"rattanhoist.example/rattanhoist/limiter"
 )
 
-// Pattern: every request fails, and six routers repeat as often as they may.
-// In no window of 10 s may the repeats of all together exceed a fifth of the
-// requests and 52.
-func TestRepeatsOfTheFleetStayWithinTheBudget(t *testing.T) {
+// Guards against routers that exceed the retry budget together. Every request fails, and
+// six routers retry as often as they may: in no window of 10 s may the sum of their retries
+// exceed a fifth of the requests plus 52.
+func TestRetriesOfTheFleetStayWithinTheBudget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const routers, ratio, slack = 6, 0.2, 52.0
 	start := time.Unix(1000, 0)
@@ -45,6 +45,7 @@
 	g.Expect(sum).To(gomega.BeNumerically(">", 0))
 }
 
+// Retries of one service must not use up the budget of another one.
 func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
