--- a/predictor/latency_model_test.go
+++ b/predictor/latency_model_test.go
@@ -33,23 +33,23 @@
 			g := gomega.NewWithT(t)
 			x := rand.New(rand.NewPCG(1, 2))
 			r := predictor.NewLatencyModel()
-			near := 0
+			accurate := 0
 			for i := range 300 {
 				prompt := 1_000 + x.Int64N(1_000+x.Int64N(49_000))
-				unread := prompt
+				uncached := prompt
 				if x.IntN(2) == 0 {
-					unread = max(prompt-13_000, prompt/4)
+					uncached = max(prompt-13_000, prompt/4)
 				}
-				want := truth(unread, prompt)
-				if off := (r.BaseLatency() + r.PrefillTime(unread, prompt) - want).Abs(); i >= 100 && off < want/10+10*time.Millisecond {
-					near++
+				want := truth(uncached, prompt)
+				if off := (r.BaseLatency() + r.PrefillTime(uncached, prompt) - want).Abs(); i >= 100 && off < want/10+10*time.Millisecond {
+					accurate++
 				}
 				if x.IntN(10) == 0 {
 					want += time.Duration(x.Int64N(int64(time.Second)))
 				}
-				r.ObservePrefill(unread, prompt, want)
+				r.ObservePrefill(uncached, prompt, want)
 			}
-			g.Expect(near).To(gomega.BeNumerically(">", 180), "of 200")
+			g.Expect(accurate).To(gomega.BeNumerically(">", 180), "of 200")
 		})
 	}
 }
--- a/predictor/predictor_test.go
+++ b/predictor/predictor_test.go
@@ -170,11 +170,11 @@
 // the cross-zone penalty.
 func TestOtherZoneOnlyWhereItWins(t *testing.T) {
 	g := gomega.NewWithT(t)
-	near, far := endpoints("a", 1)[0], endpoints("b", 1)[0]
-	x := table(near, far)
-	g.Expect(x.Choose(start, ask(800)).Endpoint()).To(gomega.BeIdenticalTo(near))
-	x.Sent(start, near.Name(), remoteDispatch(30_000, nil))
-	g.Expect(x.Choose(start, ask(800)).Endpoint()).To(gomega.BeIdenticalTo(far))
+	sameZone, otherZone := endpoints("a", 1)[0], endpoints("b", 1)[0]
+	x := table(sameZone, otherZone)
+	g.Expect(x.Choose(start, ask(800)).Endpoint()).To(gomega.BeIdenticalTo(sameZone))
+	x.Sent(start, sameZone.Name(), remoteDispatch(30_000, nil))
+	g.Expect(x.Choose(start, ask(800)).Endpoint()).To(gomega.BeIdenticalTo(otherZone))
 }
 
 // An endpoint that a request was sent to already must not be chosen again.
@@ -240,15 +240,15 @@
 	a := ask(17_000, part)
 	a.Memory = 400_000
 	x.Choose(start, a)
-	unread := func() int64 {
+	uncached := func() int64 {
 		w := x.Choose(start.Add(time.Minute), a)
 		defer w.End()
 		return w.Unread()
 	}
 	x.Sent(start, list[0].Name(), remoteDispatch(150_000, []string{"q"}))
-	g.Expect(unread()).To(gomega.Equal(int64(4_000)))
+	g.Expect(uncached()).To(gomega.Equal(int64(4_000)))
 	x.Sent(start, list[0].Name(), remoteDispatch(250_000, []string{"r"}))
-	g.Expect(unread()).To(gomega.Equal(int64(17_000)))
+	g.Expect(uncached()).To(gomega.Equal(int64(17_000)))
 }
 
 // Guards against an integer overflow at endpoints that have not prefilled anything yet: the
@@ -286,17 +286,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			keeps, other := endpoints(c.zone, 2)[1], endpoints("a", 1)[0]
-			x := table(keeps, other)
-			x.Sent(start, keeps.Name(), remoteDispatch(15_000, []string{"p"}))
+			source, other := endpoints(c.zone, 2)[1], endpoints("a", 1)[0]
+			x := table(source, other)
+			x.Sent(start, source.Name(), remoteDispatch(15_000, []string{"p"}))
 			now := start.Add(c.after)
-			x.Sent(now, keeps.Name(), remoteDispatch(35_000, nil))
+			x.Sent(now, source.Name(), remoteDispatch(35_000, nil))
 			w := x.Choose(now, a)
 			g.Expect(w.Endpoint()).To(gomega.BeIdenticalTo(other))
 			g.Expect(w.Donor() != nil).To(gomega.Equal(c.fetched))
 			g.Expect(w.Predicted()).To(gomega.BeNumerically("<", c.most))
 			if c.fetched {
-				g.Expect(w.Donor()).To(gomega.BeIdenticalTo(keeps))
+				g.Expect(w.Donor()).To(gomega.BeIdenticalTo(source))
 				g.Expect(w.Unread()).To(gomega.Equal(int64(2_000)))
 			}
 		})
@@ -318,18 +318,18 @@
 
 // sendPlain sends n plain requests, one after each pause. The answer to request i takes the
 // time returned by took. sendPlain returns how many requests stayed in zone a.
-func sendPlain(x *predictor.Table, from time.Time, n int, pause time.Duration, took func(i int, zone string) time.Duration) (near int) {
+func sendPlain(x *predictor.Table, from time.Time, n int, pause time.Duration, took func(i int, zone string) time.Duration) (sameZone int) {
 	for i := range n {
 		now := from.Add(time.Duration(i) * pause)
 		w := x.Choose(now, predictor.Ask{Service: "llm"})
 		zone := w.Endpoint().Beat().Zone
 		if zone == "a" {
-			near++
+			sameZone++
 		}
 		w.First(now.Add(took(i, zone)))
 		w.End()
 	}
-	return near
+	return sameZone
 }
 
 // Guards against averages per endpoint that only the endpoint's own answers update: one
@@ -340,14 +340,14 @@
 	g := gomega.NewWithT(t)
 	x := table(endpoints("a", 1)[0], endpoints("b", 1)[0], endpoints("c", 1)[0])
 	r := rand.New(rand.NewPCG(1, 2))
-	near := sendPlain(x, start, 1000, 150*time.Millisecond, func(i int, _ string) time.Duration {
+	sameZone := sendPlain(x, start, 1000, 150*time.Millisecond, func(i int, _ string) time.Duration {
 		took := time.Duration(30+r.IntN(60)) * time.Millisecond
 		if i%20 == 0 {
 			return 400 * time.Millisecond
 		}
 		return took
 	})
-	g.Expect(near).To(gomega.BeNumerically(">", 970))
+	g.Expect(sameZone).To(gomega.BeNumerically(">", 970))
 }
 
 // Guards against a single very late answer, as after a lost one that is followed by
@@ -356,13 +356,13 @@
 func TestOneVeryLateAnswerDoesNotMoveRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := table(endpoints("a", 1)[0], endpoints("b", 1)[0], endpoints("c", 1)[0])
-	near := sendPlain(x, start, 1000, 150*time.Millisecond, func(i int, _ string) time.Duration {
+	sameZone := sendPlain(x, start, 1000, 150*time.Millisecond, func(i int, _ string) time.Duration {
 		if i%100 == 50 {
 			return 2 * time.Second
 		}
 		return 60 * time.Millisecond
 	})
-	g.Expect(near).To(gomega.BeNumerically(">", 970))
+	g.Expect(sameZone).To(gomega.BeNumerically(">", 970))
 }
 
 // Plain requests must leave an endpoint that has become eight times as slow, and return
@@ -371,7 +371,7 @@
 	g := gomega.NewWithT(t)
 	x := table(endpoints("a", 1)[0], endpoints("b", 1)[0])
 	const pause = 100 * time.Millisecond
-	played := func(from, n int, slow time.Duration) int {
+	countSameZone := func(from, n int, slow time.Duration) int {
 		return sendPlain(x, start.Add(time.Duration(from)*pause), n, pause, func(_ int, zone string) time.Duration {
 			if zone == "a" {
 				return slow
@@ -379,10 +379,10 @@
 			return 60 * time.Millisecond
 		})
 	}
-	g.Expect(played(0, 100, 60*time.Millisecond)).To(gomega.BeNumerically(">", 95))
-	g.Expect(played(100, 100, 480*time.Millisecond)).To(gomega.BeNumerically("<", 15))
-	played(200, 200, 60*time.Millisecond)
-	g.Expect(played(400, 100, 60*time.Millisecond)).To(gomega.BeNumerically(">", 90))
+	g.Expect(countSameZone(0, 100, 60*time.Millisecond)).To(gomega.BeNumerically(">", 95))
+	g.Expect(countSameZone(100, 100, 480*time.Millisecond)).To(gomega.BeNumerically("<", 15))
+	countSameZone(200, 200, 60*time.Millisecond)
+	g.Expect(countSameZone(400, 100, 60*time.Millisecond)).To(gomega.BeNumerically(">", 90))
 }
 
 // Guards against a healthy endpoint that gets no requests for the rest of the day. It fails
@@ -395,21 +395,21 @@
 	}{"repeatable": {true, 3 * time.Second}, "not": {false, 8 * time.Second}} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			near, far := endpoints("a", 1)[0], endpoints("b", 1)[0]
-			x := table(near, far)
+			ejected, healthy := endpoints("a", 1)[0], endpoints("b", 1)[0]
+			x := table(ejected, healthy)
 			for range 3 {
-				near.Gate().Step(0, ejector.Failed, 0.5)
+				ejected.Gate().Step(0, ejector.Failed, 0.5)
 			}
 			a := predictor.Ask{Service: "llm", Repeatable: c.repeatable}
 			for a.Since = 0; a.Since < c.within; a.Since += 100 * time.Millisecond {
 				w := x.Choose(start.Add(a.Since), a)
 				w.First(start.Add(a.Since + 50*time.Millisecond))
 				w.End()
-				if w.Endpoint() == near {
-					near.Gate().Step(a.Since, ejector.Succeeded, 0)
+				if w.Endpoint() == ejected {
+					ejected.Gate().Step(a.Since, ejector.Succeeded, 0)
 				}
 			}
-			g.Expect(near.Gate().Ejected()).To(gomega.BeFalse())
+			g.Expect(ejected.Gate().Ejected()).To(gomega.BeFalse())
 		})
 	}
 }
