--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -125,15 +125,15 @@
 // stream to be resumed at another endpoint.
 func TestStreamIsResumedAfterTheLastCompleteEvent(t *testing.T) {
 	g := gomega.NewWithT(t)
-	torn := newEndpoint(t, responds(streamHead, event("1"), chunk("id: 2\nda"), "reset"))
-	rest := newEndpoint(t, responds(streamHead, event("2"), event("3"), streamEnd))
-	w := newTestRouter(t, torn, rest)
-	for len(torn.requests()) == 0 {
+	broken := newEndpoint(t, responds(streamHead, event("1"), chunk("id: 2\nda"), "reset"))
+	healthy := newEndpoint(t, responds(streamHead, event("2"), event("3"), streamEnd))
+	w := newTestRouter(t, broken, healthy)
+	for len(broken.requests()) == 0 {
 		a := w.send(t, "POST", "/resume/x", "b", "Rattanhoist-Token-Usage", "10,20")
 		g.Expect(a.err).NotTo(gomega.HaveOccurred())
-		if len(torn.requests()) == 1 {
+		if len(broken.requests()) == 1 {
 			g.Expect(a.body).To(gomega.Equal("id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\n"))
-			got := rest.requests()
+			got := healthy.requests()
 			g.Expect(got[len(got)-1].Header.Get("Last-Event-Id")).To(gomega.Equal("1"))
 		}
 	}
@@ -169,11 +169,11 @@
 // stream, because the connection to the endpoint stays open.
 func TestDisconnectedCallerStopsTheEndpoint(t *testing.T) {
 	g := gomega.NewWithT(t)
-	gone := make(chan struct{})
+	disconnected := make(chan struct{})
 	e := newEndpoint(t, func(c net.Conn, r *http.Request, b string) bool {
 		responds(streamHead, event("1"))(c, r, b)
 		_, _ = c.Read(make([]byte, 1))
-		close(gone)
+		close(disconnected)
 		return false
 	})
 	w := newTestRouter(t, e)
@@ -185,7 +185,7 @@
 	a, err := http.DefaultClient.Do(r)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	_ = a.Body.Close()
-	g.Eventually(gone, 500*time.Millisecond).Should(gomega.BeClosed())
+	g.Eventually(disconnected, 500*time.Millisecond).Should(gomega.BeClosed())
 }
 
 func TestRequestIsAnsweredAtItsDeadline(t *testing.T) {
@@ -207,23 +207,23 @@
 func TestStreamIsResumedWhenItsEndpointRestarted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	silent := make(chan struct{}, 1)
-	dark := newEndpoint(t, func(c net.Conn, r *http.Request, b string) bool {
+	silentEndpoint := newEndpoint(t, func(c net.Conn, r *http.Request, b string) bool {
 		responds(streamHead, event("1"))(c, r, b)
 		silent <- struct{}{}
 		_, _ = c.Read(make([]byte, 1))
 		return false
 	})
-	rest := newEndpoint(t, responds(streamHead, event("2"), streamEnd))
-	w := newTestRouter(t, dark, rest)
+	healthy := newEndpoint(t, responds(streamHead, event("2"), streamEnd))
+	w := newTestRouter(t, silentEndpoint, healthy)
 	go func() {
 		<-silent
 		time.Sleep(20 * time.Millisecond)
 		w.pool.End("e1")
 	}()
-	for len(dark.requests()) == 0 {
+	for len(silentEndpoint.requests()) == 0 {
 		a := w.send(t, "POST", "/resume/x", "b", "Rattanhoist-Token-Usage", "10,20")
 		g.Expect(a.err).NotTo(gomega.HaveOccurred())
-		if len(dark.requests()) == 1 {
+		if len(silentEndpoint.requests()) == 1 {
 			g.Expect(a.body).To(gomega.Equal("id: 1\ndata: x\n\nid: 2\ndata: x\n\n"))
 		}
 	}
@@ -283,13 +283,13 @@
 func TestAttemptThatBrokeOffIsNotRetriedOnceHeldBack(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var w *testRouter
-	dies := func(c net.Conn, r *http.Request, b string) bool {
+	crash := func(c net.Conn, r *http.Request, b string) bool {
 		w.quarantine.mu.Lock()
 		w.quarantine.heldFor = time.Minute
 		w.quarantine.mu.Unlock()
 		return responds("reset")(c, r, b)
 	}
-	one, two := newEndpoint(t, dies), newEndpoint(t, dies)
+	one, two := newEndpoint(t, crash), newEndpoint(t, crash)
 	w = newTestRouter(t, one, two)
 	g.Expect(w.send(t, "GET", "/read/x", "").status).To(gomega.Equal(502), "it may have run")
 	g.Expect(len(one.requests()) + len(two.requests())).To(gomega.Equal(1))
