--- a/allotter/demand.go
+++ b/allotter/demand.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// demand notes n tokens asked for.
-func (p *Purse) demand(now time.Time, n int64) {
-	if p.rate(now) < 1 {
-		p.rateFrom = now
+// recordDemand adds a request for n tokens to the demand.
+func (p *Purse) recordDemand(now time.Time, n int64) {
+	if p.demandRate(now) < 1 {
+		p.demandSince = now
 	}
-	p.mean += float64(n) / rateWindow.Seconds()
+	p.meanDemand += float64(n) / demandWindow.Seconds()
 }
 
-// rate is the demand in tokens a second. A mean over a window takes as long as
-// the window to show demand that begins; divided by the part of it that has
-// been seen, it shows it after rateLeast.
-func (p *Purse) rate(now time.Time) float64 {
-	if gone := now.Sub(p.meanAt); gone > 0 {
-		p.mean *= math.Exp(-gone.Seconds() / rateWindow.Seconds())
-		p.meanAt = now
+// demandRate returns the demand in tokens per second. The average over demandWindow alone would
+// take that long to reflect new demand. Dividing by the part of the window that has elapsed since
+// the demand began reflects it after minDemandTime.
+func (p *Purse) demandRate(now time.Time) float64 {
+	if elapsed := now.Sub(p.meanDemandAt); elapsed > 0 {
+		p.meanDemand *= math.Exp(-elapsed.Seconds() / demandWindow.Seconds())
+		p.meanDemandAt = now
 	}
-	return p.rateSeen(now, rateLeast)
+	return p.demandRateOver(now, minDemandTime)
 }
 
-// rateSeen is the rate reckoned from so long a time at least.
-func (p *Purse) rateSeen(now time.Time, least time.Duration) float64 {
-	seen := max(now.Sub(p.rateFrom), least)
-	return p.mean / (1 - math.Exp(-seen.Seconds()/rateWindow.Seconds()))
+// demandRateOver returns the demand rate, assuming that demand began at least minTime ago.
+func (p *Purse) demandRateOver(now time.Time, minTime time.Duration) float64 {
+	elapsed := max(now.Sub(p.demandSince), minTime)
+	return p.meanDemand / (1 - math.Exp(-elapsed.Seconds()/demandWindow.Seconds()))
 }
--- a/allotter/export_test.go
+++ b/allotter/export_test.go
@@ -1,6 +1,6 @@
 package allotter
 
-// Used returns what keepers must know to be covered by the bound.
+// Used returns the tokens that the bound known to keepers must cover.
 func (p *Purse) Used() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/allotter/ledger.go
+++ b/allotter/ledger.go
@@ -1,6 +1,8 @@
-// Package allotter shares prepaid rights out among routers. A workspace's total
-// exists once: what routers hold, what ended routers may have spent, and what
-// is left never add up to more.
+// Package allotter distributes the prepaid tokens of workspaces among routers. Keepers hold the
+// Ledger of what was granted. A router holds an Allocation for each workspace, serves requests
+// from it, and settles with the keepers by claims, which report its spending and ask for more. The
+// tokens that routers hold, the tokens that ended routers may have spent and the unallocated
+// tokens never exceed a workspace's total together.
 package allotter
 
 import (
@@ -11,127 +13,129 @@
 )
 
 const (
-	// rememberedEnds is how many ended incarnations of one router are known:
-	// a claim of theirs that comes late must not bring them back. Restarts
-	// take seconds, and a claim is not kept for as long.
-	rememberedEnds = 16
-	// scarcePart is the part of a total that must be left for routers to hold rights far
-	// ahead, and unspentPart the part that must be unspent. Below either, what idle
-	// routers hold decides whether the total can be used up.
-	scarcePart  = 40
-	unspentPart = 6
-	// poolShare is into how many parts the pool is cut beyond one for each
-	// router, or for each token of demand: two, so that one claim never empties
-	// the pool for the others.
-	poolShare = 2
+	// maxEndedIncarnations is how many ended incarnations of a router are remembered, so that a
+	// delayed claim of one of them is refused. Restarts take seconds, and claims are not kept that
+	// long.
+	maxEndedIncarnations = 16
+	// Tokens are scarce if less than 1/unallocatedDivisor of the total is unallocated, or less
+	// than 1/unspentDivisor is unspent. Then the tokens that idle routers hold decide whether the
+	// total can be spent, so routers must not hold tokens far ahead of demand.
+	unallocatedDivisor = 40
+	unspentDivisor     = 6
+	// poolDivisor limits a single claim to 1/poolDivisor of the unallocated tokens, scaled by the
+	// router's part of all routers or of the demand. With 2, one claim never takes all of them.
+	poolDivisor = 2
 )
 
-// account is one incarnation's rights of one workspace. Each amount only ever
-// grows, so claims that arrive twice or out of order do no harm.
+// account holds what one incarnation of a router was granted of a workspace. Its amounts only
+// grow, so claims that arrive twice or out of order do no harm.
 type account struct {
 	granted, returned, spent int64
-	// Bounds are what the router may be keeping, oldest first: that of the
-	// last claim for this workspace whose answer it is known to have seen, and
-	// of all later ones. Claims that leave the workspace out state the one before
-	// them anew.
+	// Bounds are the spending bounds that the router may currently obey, oldest first: the bound
+	// of the last claim for this workspace whose answer the router is known to have received, and
+	// the bounds of all later claims. A claim that omits the workspace confirms the previous
+	// bound.
 	bounds []*messenger.RightsBound
 }
 
-// cap is the most that the incarnation can have spent.
-func (a *account) cap() int64 { return a.granted - a.returned }
+// allocated returns the tokens that the incarnation received and did not return, which is the most
+// that it can have spent.
+func (a *account) allocated() int64 { return a.granted - a.returned }
 
+// holder is the state of one router.
 type holder struct {
 	incarnation uint64
 	sequence    uint64
 	accounts    map[string]*account
 	ended       []uint64
-	// Statements are the claims whose bounds the router may be keeping, oldest
-	// first: the last one whose answer it is known to have seen, and all later
-	// ones.
+	// Statements are the claims whose bounds the router may currently obey, oldest first: the last
+	// claim whose answer the router is known to have received, and all later claims.
 	statements []*messenger.RightsStatement
 }
 
-// Ledger is the pure state of all rights. It is not safe for concurrent use.
+// Ledger records the prepaid totals and what each router holds of them. It does no I/O and reads
+// no clock. It is not safe for concurrent use.
 type Ledger struct {
 	totals map[string]int64
-	// Consumed is what ended incarnations have spent or may have spent.
+	// Consumed is the tokens that ended incarnations spent or may have spent.
 	consumed map[string]int64
-	// Held is the sum of the caps of all holders.
+	// Held is the sum of the allocated tokens of all holders.
 	held map[string]int64
-	// Spent is the sum of what the holders said that they had spent.
+	// Spent is the sum of the spending that the holders reported.
 	spent map[string]int64
-	// Slopes is the sum of the slopes that the holders stated last: how fast a
-	// workspace is spent, by all of them.
+	// Slopes is the sum of the slopes in the holders' latest claims, which estimates how fast all
+	// routers together spend a workspace's tokens.
 	slopes map[string]int64
-	// Low holds the workspaces that are scarce.
-	low     map[string]bool
-	holders map[string]*holder
+	// ScarceWorkspaces holds the workspaces for which isScarce is true.
+	scarceWorkspaces map[string]bool
+	holders          map[string]*holder
 }
 
 // NewLedger returns a ledger without totals.
 func NewLedger() *Ledger {
 	return &Ledger{
 		totals: map[string]int64{}, consumed: map[string]int64{},
-		held: map[string]int64{}, spent: map[string]int64{}, slopes: map[string]int64{}, low: map[string]bool{}, holders: map[string]*holder{},
+		held: map[string]int64{}, spent: map[string]int64{}, slopes: map[string]int64{}, scarceWorkspaces: map[string]bool{}, holders: map[string]*holder{},
 	}
 }
 
-// SetTotals states the prepaid totals. A workspace that is not named keeps
-// what it has spent, in case that it comes back.
+// SetTotals replaces the prepaid totals. The spending of a workspace that is absent from totals is
+// kept, because the workspace may be added again.
 func (l *Ledger) SetTotals(totals []*messenger.PrepaidTotal) {
 	l.totals = map[string]int64{}
 	for _, t := range totals {
 		l.totals[t.Workspace] = t.Tokens
 	}
-	l.low = map[string]bool{}
+	l.scarceWorkspaces = map[string]bool{}
 	for w := range l.totals {
-		l.note(w)
+		l.updateScarce(w)
 	}
 }
 
-// note keeps low up to date after a change of a workspace's rights.
-func (l *Ledger) note(workspace string) {
-	if l.scarce(workspace) {
-		l.low[workspace] = true
+// updateScarce updates scarceWorkspaces after a change to a workspace.
+func (l *Ledger) updateScarce(workspace string) {
+	if l.isScarce(workspace) {
+		l.scarceWorkspaces[workspace] = true
 	} else {
-		delete(l.low, workspace)
+		delete(l.scarceWorkspaces, workspace)
 	}
 }
 
-// Left returns the tokens of a workspace that nobody holds.
+// Unallocated returns the tokens of a workspace that no router holds or has spent.
 func (l *Ledger) Left(workspace string) int64 {
 	return max(l.totals[workspace]-l.consumed[workspace]-l.held[workspace], 0)
 }
 
-// Balance tells where a workspace's total is, in tokens.
+// Balance describes how a workspace's prepaid total is distributed, in tokens.
 type Balance struct {
 	Workspace string
-	// Total is Left, which nobody holds, Held, which routers hold or say that
-	// they have spent, and Ended, what ended incarnations have or may have spent.
+	// Total is the prepaid total. Unallocated is held by no router, Held is held by running
+	// routers or was reported as spent by them, and SpentByEnded is what ended incarnations spent
+	// or may have spent.
 	Total, Left, Held, Ended int64
 	// Spent is the part of Held that was reported as spent.
 	Spent int64
-	// Scarce says that routers give back what they need not hold.
+	// Scarce reports whether routers return tokens that they do not need.
 	Scarce bool
 }
 
-// Balances returns the workspaces with a total, by name.
+// Balances returns the balances of all workspaces that have a total, sorted by name.
 func (l *Ledger) Balances() []Balance {
 	var out []Balance
 	for _, w := range slices.Sorted(maps.Keys(l.totals)) {
 		out = append(out, Balance{
-			Workspace: w, Total: l.totals[w], Left: l.Left(w), Held: l.held[w], Ended: l.consumed[w], Spent: l.spent[w], Scarce: l.scarce(w),
+			Workspace: w, Total: l.totals[w], Left: l.Left(w), Held: l.held[w], Ended: l.consumed[w], Spent: l.spent[w], Scarce: l.isScarce(w),
 		})
 	}
 	return out
 }
 
-// unspent returns the tokens that nobody is known to have spent.
+// unspent returns the tokens that are not known to be spent.
 func (l *Ledger) unspent(workspace string) int64 {
 	return l.totals[workspace] - l.consumed[workspace] - l.spent[workspace]
 }
 
-// Prepaid returns the sum of all totals.
+// TotalPrepaid returns the sum of all totals.
 func (l *Ledger) Prepaid() int64 {
 	var sum int64
 	for _, n := range l.totals {
@@ -140,34 +144,35 @@
 	return sum
 }
 
-// Claim takes a router's account in and grants what the pool allows.
+// ApplyClaims records a router's claims and returns the grants. If the router was restarted, its
+// previous incarnation is ended first. Claims of an ended incarnation are refused.
 func (l *Ledger) Claim(c *messenger.RightsChange) *messenger.RightsGrants {
 	out := &messenger.RightsGrants{}
-	h := l.holder(c, out)
+	h := l.currentHolder(c, out)
 	if h == nil {
 		out.Ended = true
 		return out
 	}
-	fresh := c.Sequence > h.sequence
-	if fresh {
-		h.state(c)
+	isNew := c.Sequence > h.sequence
+	if isNew {
+		h.addStatement(c)
 	}
 	for _, claim := range c.Claims {
 		a := h.account(claim.Workspace)
-		if fresh {
+		if isNew {
 			l.slopes[claim.Workspace] += claim.Slope - a.slope()
-			a.bound(&messenger.RightsBound{Sequence: c.Sequence, Ceiling: claim.Ceiling, Slope: claim.Slope, RestMs: claim.RestMs}, c.Answered)
+			a.addBound(&messenger.RightsBound{Sequence: c.Sequence, Ceiling: claim.Ceiling, Slope: claim.Slope, RestMs: claim.RestMs}, c.Answered)
 		}
-		out.Grants = append(out.Grants, l.claim(a, claim, fresh))
+		out.Grants = append(out.Grants, l.applyClaim(a, claim, isNew))
 	}
-	out.Scarce = l.lowAmong(h, c)
+	out.Scarce = l.omittedScarce(h, c)
 	if c.Closing {
-		l.end(h, out, func(a *account) int64 { return min(a.spent, a.cap()) })
+		l.endIncarnation(h, out, func(a *account) int64 { return min(a.spent, a.allocated()) })
 	}
 	return out
 }
 
-// slope is what the last claim stated; it grows with the router's demand.
+// slope returns the slope of the latest claim, which grows with the router's demand.
 func (a *account) slope() int64 {
 	if len(a.bounds) == 0 {
 		return 0
@@ -175,19 +180,19 @@
 	return a.bounds[len(a.bounds)-1].Slope
 }
 
-// bound notes what a claim states, and forgets what the router no longer keeps.
-func (a *account) bound(b *messenger.RightsBound, answered uint64) {
+// addBound records the bound of a claim, and removes bounds that the router no longer obeys.
+func (a *account) addBound(b *messenger.RightsBound, answered uint64) {
 	for len(a.bounds) > 1 && a.bounds[1].Sequence <= answered {
 		a.bounds = a.bounds[1:]
 	}
 	a.bounds = append(slices.Clone(a.bounds), b)
 }
 
-// lowAmong returns the scarce workspaces of a holder that its claims left out: a
-// router that nobody asks for one would not hear that others lack what it holds.
-func (l *Ledger) lowAmong(h *holder, c *messenger.RightsChange) []string {
+// omittedScarce returns the scarce workspaces that a holder has and its claims omit. Otherwise a
+// router without demand for a workspace would not learn that it should return its tokens.
+func (l *Ledger) omittedScarce(h *holder, c *messenger.RightsChange) []string {
 	var out []string
-	for _, w := range slices.Sorted(maps.Keys(l.low)) {
+	for _, w := range slices.Sorted(maps.Keys(l.scarceWorkspaces)) {
 		named := slices.ContainsFunc(c.Claims, func(x *messenger.RightsClaim) bool { return x.Workspace == w })
 		if h.accounts[w] != nil && !named {
 			out = append(out, w)
@@ -196,9 +201,10 @@
 	return out
 }
 
-// stated returns the bound that a claim stated, or stated anew, or nil where the
-// workspace had none yet.
-func (a *account) stated(sequence uint64) *messenger.RightsBound {
+// boundStatedBy returns the bound in force after the claim with a sequence number: that of the
+// claim itself, or of the last one before it that did not omit the workspace. It returns nil if
+// there was none yet.
+func (a *account) boundStatedBy(sequence uint64) *messenger.RightsBound {
 	var out *messenger.RightsBound
 	for _, b := range a.bounds {
 		if b.Sequence <= sequence {
@@ -208,9 +214,8 @@
 	return out
 }
 
-// state notes a claim, and forgets those whose bounds the router no longer
-// keeps.
-func (h *holder) state(c *messenger.RightsChange) {
+// addStatement records a claim, and removes claims whose bounds the router no longer obeys.
+func (h *holder) addStatement(c *messenger.RightsChange) {
 	h.sequence = c.Sequence
 	for len(h.statements) > 1 && h.statements[1].Sequence <= c.Answered {
 		h.statements = h.statements[1:]
@@ -218,7 +223,9 @@
 	h.statements = append(slices.Clone(h.statements), &messenger.RightsStatement{Sequence: c.Sequence, Sent: c.Sent, Binding: c.Binding})
 }
 
-func (l *Ledger) holder(c *messenger.RightsChange, out *messenger.RightsGrants) *holder {
+// currentHolder returns the holder of the router that sent c, or nil if c is from an ended
+// incarnation. If c is from a new incarnation, the previous one is ended.
+func (l *Ledger) currentHolder(c *messenger.RightsChange, out *messenger.RightsGrants) *holder {
 	h := l.holders[c.Router]
 	if h == nil {
 		h = &holder{incarnation: c.Incarnation, accounts: map[string]*account{}}
@@ -228,8 +235,8 @@
 		return nil
 	}
 	if h.incarnation != c.Incarnation {
-		out.EndedAfterMs = endedAfter(h.statements, c.Started)
-		l.end(h, out, lost(h.statements, c.Started))
+		out.EndedAfterMs = lastClaimToEndMs(h.statements, c.Started)
+		l.endIncarnation(h, out, maxSpentAfterCrash(h.statements, c.Started))
 		h.incarnation, h.sequence = c.Incarnation, 0
 	}
 	return h
@@ -244,10 +251,10 @@
 	return a
 }
 
-// lost returns what an incarnation may have spent that ended, without a word,
-// before its successor started at a moment.
-func lost(statements []*messenger.RightsStatement, end *messenger.RightsMoment) func(*account) int64 {
-	times := untilEnd(statements, end)
+// maxSpentAfterCrash returns a function that returns the most that an incarnation may have spent
+// from an account, if it ended without a closing claim before its successor started at end.
+func maxSpentAfterCrash(statements []*messenger.RightsStatement, end *messenger.RightsMoment) func(*account) int64 {
+	times := maxTimesUntilEnd(statements, end)
 	first := 0
 	if n := len(statements); n > 0 && statements[n-1].Binding {
 		first = n - 1
@@ -256,86 +263,89 @@
 		most := a.spent
 		for i, s := range statements {
 			if i < first {
-				// The router kept to the newest one as well.
+				// The router also obeyed the bound of the newest claim, which is applied instead.
 				continue
 			}
-			b := a.stated(s.Sequence)
+			b := a.boundStatedBy(s.Sequence)
 			if b == nil {
 				continue
 			}
-			if times[i] == unknown {
-				return a.cap()
+			if times[i] == unknownDuration {
+				return a.allocated()
 			}
-			most = max(most, bound(b.Ceiling, b.Slope, restOf(b.RestMs), times[i]))
+			most = max(most, spendingBound(b.Ceiling, b.Slope, riseDelay(b.RestMs), times[i]))
 		}
-		return min(most, a.cap())
+		return min(most, a.allocated())
 	}
 }
 
-func (l *Ledger) end(h *holder, out *messenger.RightsGrants, lost func(*account) int64) {
+// endIncarnation ends the current incarnation of a holder: spentBy of each account counts as spent,
+// and the rest becomes unallocated.
+func (l *Ledger) endIncarnation(h *holder, out *messenger.RightsGrants, spentBy func(*account) int64) {
 	for w, a := range h.accounts {
-		n := lost(a)
-		l.held[w] -= a.cap()
+		n := spentBy(a)
+		l.held[w] -= a.allocated()
 		l.slopes[w] -= a.slope()
 		l.spent[w] -= a.spent
 		l.consumed[w] += n
-		l.note(w)
+		l.updateScarce(w)
 		out.WrittenOff += n - a.spent
-		out.Recovered += a.cap() - n
+		out.Recovered += a.allocated() - n
 	}
 	h.accounts, h.statements = map[string]*account{}, nil
 	h.ended = append(h.ended, h.incarnation)
-	if len(h.ended) > rememberedEnds {
+	if len(h.ended) > maxEndedIncarnations {
 		h.ended = h.ended[1:]
 	}
 }
 
-func (l *Ledger) claim(a *account, c *messenger.RightsClaim, fresh bool) *messenger.RightsGrant {
+// applyClaim records a claim for one workspace. If it is new, it also grants tokens.
+func (l *Ledger) applyClaim(a *account, c *messenger.RightsClaim, isNew bool) *messenger.RightsGrant {
 	if c.Returned > a.returned && c.Returned <= a.granted {
 		l.held[c.Workspace] -= c.Returned - a.returned
 		a.returned = c.Returned
 	}
 	l.spent[c.Workspace] += max(c.Spent-a.spent, 0)
 	a.spent = max(a.spent, c.Spent)
-	if fresh {
-		// A claim that is committed twice gets the answer that it got before.
-		more := l.share(c)
+	if isNew {
+		// A claim that is committed twice gets the same answer again.
+		more := l.grantAmount(c)
 		a.granted += more
 		l.held[c.Workspace] += more
 	}
-	l.note(c.Workspace)
+	l.updateScarce(c.Workspace)
 	return &messenger.RightsGrant{
-		Workspace: c.Workspace, Granted: a.granted, Left: l.Left(c.Workspace), Scarce: l.scarce(c.Workspace),
+		Workspace: c.Workspace, Granted: a.granted, Left: l.Left(c.Workspace), Scarce: l.isScarce(c.Workspace),
 	}
 }
 
-// scarce reports whether routers must not hold rights far ahead.
-func (l *Ledger) scarce(workspace string) bool {
+// isScarce reports whether routers must not hold tokens far ahead of demand.
+func (l *Ledger) isScarce(workspace string) bool {
 	total := l.totals[workspace]
-	return l.Left(workspace) < total/scarcePart || l.unspent(workspace) < total/unspentPart
+	return l.Left(workspace) < total/unallocatedDivisor || l.unspent(workspace) < total/unspentDivisor
 }
 
-// share is what a claim is granted: all that it wants while the pool is
-// large, later a part of what is left by the router's part of the demand, and
-// always what a waiting request needs, if the pool has it. Callers are spread by a hash, so
-// one router can have most of a workspace's demand.
-func (l *Ledger) share(c *messenger.RightsClaim) int64 {
+// grantAmount returns the tokens to grant for a claim: what the router wants, up to a share of the
+// unallocated tokens that follows its share of the demand, and always enough for the largest
+// waiting request if that many are unallocated. Grants follow demand because callers are
+// distributed by a hash, so one router can have most of a workspace's demand.
+func (l *Ledger) grantAmount(c *messenger.RightsClaim) int64 {
 	left := l.Left(c.Workspace)
-	fair := left / int64(poolShare*max(len(l.holders), 1))
-	if all := l.slopes[c.Workspace]; all > 0 {
-		fair = max(fair, int64(float64(left)/poolShare*float64(c.Slope)/float64(all)))
+	maxShare := left / int64(poolDivisor*max(len(l.holders), 1))
+	if totalSlope := l.slopes[c.Workspace]; totalSlope > 0 {
+		maxShare = max(maxShare, int64(float64(left)/poolDivisor*float64(c.Slope)/float64(totalSlope)))
 	}
-	more := min(c.Wanted, fair)
+	more := min(c.Wanted, maxShare)
 	if c.Urgent <= left {
 		more = max(more, c.Urgent)
 	}
 	return max(more, 0)
 }
 
-// Snapshot writes the ledger into s.
+// Snapshot writes the ledger to s.
 func (l *Ledger) Snapshot(s *messenger.FleetSnapshot) {
-	s.Totals = amounts(l.totals)
-	s.Consumed = amounts(l.consumed)
+	s.Totals = prepaidTotals(l.totals)
+	s.Consumed = prepaidTotals(l.consumed)
 	for _, name := range slices.Sorted(maps.Keys(l.holders)) {
 		h := l.holders[name]
 		out := &messenger.RightsHolder{
@@ -351,7 +361,7 @@
 	}
 }
 
-func amounts(m map[string]int64) []*messenger.PrepaidTotal {
+func prepaidTotals(m map[string]int64) []*messenger.PrepaidTotal {
 	var out []*messenger.PrepaidTotal
 	for _, w := range slices.Sorted(maps.Keys(m)) {
 		out = append(out, &messenger.PrepaidTotal{Workspace: w, Tokens: m[w]})
@@ -359,7 +369,7 @@
 	return out
 }
 
-// Restore returns the ledger of a snapshot.
+// Restore returns the ledger that a snapshot contains.
 func Restore(s *messenger.FleetSnapshot) *Ledger {
 	l := NewLedger()
 	l.SetTotals(s.Totals)
@@ -374,14 +384,14 @@
 		for _, a := range in.Accounts {
 			x := &account{granted: a.Granted, returned: a.Returned, spent: a.Spent, bounds: a.Bounds}
 			h.accounts[a.Workspace] = x
-			l.held[a.Workspace] += x.cap()
+			l.held[a.Workspace] += x.allocated()
 			l.slopes[a.Workspace] += x.slope()
 			l.spent[a.Workspace] += x.spent
 		}
 		l.holders[in.Router] = h
 	}
 	for w := range l.totals {
-		l.note(w)
+		l.updateScarce(w)
 	}
 	return l
 }
--- a/allotter/limits.go
+++ b/allotter/limits.go
@@ -5,44 +5,45 @@
 	"time"
 )
 
-// limit is a bound that a claim stated at a moment: its ceiling rises by slope tokens a
-// second after BoundRest.
+// limit is the spending bound of one claim. It starts at ceiling and rises by slope tokens per
+// second after BoundRiseDelay.
 type limit struct {
 	ceiling, slope int64
-	at             time.Time
+	statedAt       time.Time
 }
 
-// maxLimits is how many limits are held before the oldest two become one.
+// maxLimits is the number of limits that are kept before the oldest two are merged.
 const maxLimits = 16
 
-// keepTo adds a limit. Two that become one are both kept to by it.
-func (p *Purse) keepTo(l limit) {
+// addLimit adds a limit. If there are too many, it merges the oldest two into one that is at least
+// as strict as both.
+func (p *Purse) addLimit(l limit) {
 	p.limits = append(p.limits, l)
 	if len(p.limits) <= maxLimits {
 		return
 	}
 	a, b := p.limits[0], p.limits[1]
-	if b.at.Before(a.at) {
-		a.at, b.at = b.at, a.at
+	if b.statedAt.Before(a.statedAt) {
+		a.statedAt, b.statedAt = b.statedAt, a.statedAt
 	}
 	p.limits = p.limits[1:]
-	p.limits[0] = limit{ceiling: min(a.ceiling, b.ceiling), slope: min(a.slope, b.slope), at: b.at}
+	p.limits[0] = limit{ceiling: min(a.ceiling, b.ceiling), slope: min(a.slope, b.slope), statedAt: b.statedAt}
 }
 
-// allowed is the most that may be used by a moment.
-func (p *Purse) allowed(at time.Time) int64 {
-	if !p.known {
+// allowedAt returns the most tokens that may be used until a time under all limits.
+func (p *Purse) allowedAt(at time.Time) int64 {
+	if !p.answered {
 		return 0
 	}
 	most := int64(math.MaxInt64)
 	for _, l := range p.limits {
-		most = min(most, bound(l.ceiling, l.slope, BoundRest, at.Sub(l.at)))
+		most = min(most, spendingBound(l.ceiling, l.slope, BoundRest, at.Sub(l.statedAt)))
 	}
 	return most
 }
 
-// slope is the highest of the limits.
-func (p *Purse) slope() int64 {
+// maxSlope returns the highest slope of the limits.
+func (p *Purse) maxSlope() int64 {
 	var most int64
 	for _, l := range p.limits {
 		most = max(most, l.slope)
@@ -50,45 +51,46 @@
 	return most
 }
 
-// idle is the part of a bound that is there without demand, in tokens or in tokens a
-// second.
-func (p *Purse) idle(most int64) int64 {
-	return most * boundRouters / max(p.routers, boundRouters)
+// idlePart returns this router's part of idleCeiling or idleSlope, which more than idleHolders
+// routers divide among themselves.
+func (p *Purse) idlePart(amount int64) int64 {
+	return amount * idleHolders / max(p.holders, idleHolders)
 }
 
-// bounded is what may still be set aside within the limits.
-func (p *Purse) bounded(now time.Time) int64 { return p.allowed(now) - p.used() }
+// remainingAllowed returns the tokens that the limits still allow to be reserved.
+func (p *Purse) remainingAllowed(now time.Time) int64 { return p.allowedAt(now) - p.used() }
 
-// bound returns the most spent within a time after a claim.
-func bound(ceiling, slope int64, rest, after time.Duration) int64 {
-	return ceiling + int64(float64(slope)*max(after-rest, 0).Seconds())
+// spendingBound returns the most tokens that a router may have spent, a given time after it sent
+// the claim.
+func spendingBound(ceiling, slope int64, riseDelay, sinceClaim time.Duration) int64 {
+	return ceiling + int64(float64(slope)*max(sinceClaim-riseDelay, 0).Seconds())
 }
 
-// restOf returns the rest that a claim stated.
-func restOf(ms int64) time.Duration {
+// riseDelay returns the rise delay of a claim.
+func riseDelay(ms int64) time.Duration {
 	if ms == 0 {
-		return defaultRest
+		return defaultRiseDelay
 	}
 	return time.Duration(ms) * time.Millisecond
 }
 
-// Until returns how long it takes until the bound has risen far enough for n
-// tokens, where the router holds as many. It returns false where it does not.
+// TimeUntilAllowed returns how long it takes until the limits allow a request of n tokens. It
+// returns false if the router does not hold that many, or if the limits will never allow them.
 func (p *Purse) Until(now time.Time, n int64) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || n > p.headroom() || !p.known {
+	if p.closed || n > p.headroom() || !p.answered {
 		return 0, false
 	}
 	var out time.Duration
 	for _, l := range p.limits {
-		missing := n + p.used() - l.ceiling
-		if missing > 0 && l.slope <= 0 {
+		shortfall := n + p.used() - l.ceiling
+		if shortfall > 0 && l.slope <= 0 {
 			return 0, false
 		}
-		if missing > 0 {
-			rises := time.Duration(float64(missing) / float64(l.slope) * float64(time.Second))
-			out = max(out, l.at.Add(BoundRest+rises).Sub(now))
+		if shortfall > 0 {
+			riseTime := time.Duration(float64(shortfall) / float64(l.slope) * float64(time.Second))
+			out = max(out, l.statedAt.Add(BoundRest+riseTime).Sub(now))
 		}
 	}
 	return out, true
--- a/allotter/pooled_test.go
+++ b/allotter/pooled_test.go
@@ -12,7 +12,7 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// pooledZone is the routers of one availability zone, of which one owns the rights.
+// pooledZone is the routers of one availability zone, one of which owns the zone's tokens.
 type pooledZone struct {
 	name               string
 	owner              *allotter.Purse
@@ -20,48 +20,49 @@
 	sequence, answered uint64
 	started            time.Time
 	borrowers          []*allotter.Purse
-	// Running holds by borrower the tokens set aside for its requests.
-	running [][]int64
+	// Reservations holds the tokens reserved for each borrower's running requests.
+	reservations [][]int64
 }
 
-type pooledWorld struct {
-	t         *testing.T
-	rand      *rand.Rand
-	ledger    *allotter.Ledger
-	now       time.Time
-	zones     []*pooledZone
-	delivered int64
-	next      uint64
-	// Reliable says that no message is lost.
+type pooledSimulation struct {
+	t               *testing.T
+	rand            *rand.Rand
+	ledger          *allotter.Ledger
+	now             time.Time
+	zones           []*pooledZone
+	delivered       int64
+	nextIncarnation uint64
+	// Reliable prevents the loss of messages.
 	reliable bool
 }
 
-func (w *pooledWorld) lost() bool { return !w.reliable && w.rand.IntN(20) == 0 }
+func (w *pooledSimulation) messageLost() bool { return !w.reliable && w.rand.IntN(20) == 0 }
 
-// claim settles the owner's purse with the keepers; a lost answer leaves it as it was.
-func (w *pooledWorld) claim(z *pooledZone) {
+// sendClaim settles the owner's allocation with the keepers. If the answer is lost, the allocation
+// stays as it was.
+func (w *pooledSimulation) claim(z *pooledZone) {
 	c := z.owner.Claim(w.now, workspace, 0, 400*time.Millisecond)
 	z.sequence++
 	change := &messenger.RightsChange{
 		Router: z.name, Incarnation: z.incarnation, Claims: []*messenger.RightsClaim{c}, Sequence: z.sequence, Answered: z.answered,
-		Sent: moment(w.now), Started: moment(z.started), Binding: true,
+		Sent: momentAt(w.now), Started: momentAt(z.started), Binding: true,
 	}
-	if w.lost() {
+	if w.messageLost() {
 		return
 	}
 	g := w.ledger.Claim(change)
-	if w.lost() || g.Ended {
+	if w.messageLost() || g.Ended {
 		return
 	}
 	z.answered = z.sequence
 	z.owner.Granted(g.Grants[0], c, w.now)
 }
 
-// request runs one request of n tokens at a borrower.
-func (w *pooledWorld) request(z *pooledZone, i int, n int64) bool {
+// request starts a request of n tokens at a borrower and reports whether it was admitted.
+func (w *pooledSimulation) request(z *pooledZone, i int, n int64) bool {
 	b := z.borrowers[i]
 	if b.TakeHeld(w.now, n) {
-		z.running[i] = append(z.running[i], n)
+		z.reservations[i] = append(z.reservations[i], n)
 		return true
 	}
 	got := z.owner.Reserve(w.now, n)
@@ -73,54 +74,54 @@
 		return false
 	}
 	z.owner.Settle(n, n)
-	if w.lost() {
-		// The answer of the owner: the tokens count as spent.
+	if w.messageLost() {
+		// The owner's answer was lost, so the tokens count as spent.
 		return false
 	}
 	b.Borrow(n)
-	z.running[i] = append(z.running[i], n)
+	z.reservations[i] = append(z.reservations[i], n)
 	return true
 }
 
 // finish ends all requests of a borrower.
-func (w *pooledWorld) finish(z *pooledZone, i int) {
-	for _, n := range z.running[i] {
+func (w *pooledSimulation) finish(z *pooledZone, i int) {
+	for _, n := range z.reservations[i] {
 		spent := w.rand.Int64N(n + 1)
 		w.delivered += spent
 		z.borrowers[i].Settle(n, spent)
 	}
-	z.running[i] = nil
-	if n := z.borrowers[i].RestAbove(w.now, 500); n > 0 && !w.lost() {
+	z.reservations[i] = nil
+	if n := z.borrowers[i].RestAbove(w.now, 500); n > 0 && !w.messageLost() {
 		z.owner.Receive(n)
 	}
 }
 
-// restart replaces the owner's process, or that of a borrower, whose requests end with it.
-func (w *pooledWorld) restart(z *pooledZone) {
+// restart replaces the process of the owner or of a borrower, whose requests end with it.
+func (w *pooledSimulation) restart(z *pooledZone) {
 	if i := w.rand.IntN(2 * len(z.borrowers)); i < len(z.borrowers) {
-		for _, n := range z.running[i] {
+		for _, n := range z.reservations[i] {
 			w.delivered += w.rand.Int64N(n + 1)
 		}
-		z.borrowers[i], z.running[i] = &allotter.Purse{}, nil
+		z.borrowers[i], z.reservations[i] = &allotter.Purse{}, nil
 		return
 	}
-	w.next++
-	z.owner, z.incarnation, z.sequence, z.answered, z.started = &allotter.Purse{}, w.next, 0, 0, w.now
+	w.nextIncarnation++
+	z.owner, z.incarnation, z.sequence, z.answered, z.started = &allotter.Purse{}, w.nextIncarnation, 0, 0, w.now
 }
 
-// Pattern: in three zones 40 routers each borrow what their requests need from one owner of
-// the zone. Answers and gifts are lost, owners and borrowers end at any moment. Guards
-// against a total that is overspent.
-func TestPooledRightsAreNeverOverspent(t *testing.T) {
+// Guards against spending more than a total. In each of three zones, 40 routers borrow tokens for
+// their requests from the owner. Answers and loans are lost, and owners and borrowers restart at
+// any time.
+func TestPooledTokensAreNeverOverspent(t *testing.T) {
 	for seed := range uint64(30) {
 		g := gomega.NewWithT(t)
 		const total = 2_000_000
-		w := &pooledWorld{t: t, rand: rand.New(rand.NewPCG(seed, 1)), ledger: ledger(total), now: time.Unix(1000, 0)}
+		w := &pooledSimulation{t: t, rand: rand.New(rand.NewPCG(seed, 1)), ledger: newLedger(total), now: time.Unix(1000, 0)}
 		for i := range 3 {
-			w.next++
-			z := &pooledZone{name: fmt.Sprint("owner", i), owner: &allotter.Purse{}, incarnation: w.next, started: w.now}
+			w.nextIncarnation++
+			z := &pooledZone{name: fmt.Sprint("owner", i), owner: &allotter.Purse{}, incarnation: w.nextIncarnation, started: w.now}
 			for range 40 {
-				z.borrowers, z.running = append(z.borrowers, &allotter.Purse{}), append(z.running, nil)
+				z.borrowers, z.reservations = append(z.borrowers, &allotter.Purse{}), append(z.reservations, nil)
 			}
 			w.zones = append(w.zones, z)
 		}
@@ -145,19 +146,19 @@
 	}
 }
 
-// Pattern: 197 routers of a zone each see one request of a workspace in eight seconds; its
-// total is 1.3 times what a day asks for. Guards against rights that stay with routers that
-// need them no more: at most three requests in a hundred may be refused.
-func TestPooledRightsServeSparseDemand(t *testing.T) {
+// Guards against tokens that stay with routers which no longer need them. Each of a zone's 197
+// routers receives one request of a workspace in eight seconds, and the total is 1.3 times the
+// day's demand. At most 3% of the requests may be refused.
+func TestPooledTokensServeSparseDemand(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const routers, perSecond, seconds, mean = 197, 0.125, 25, 8_000
-	w := &pooledWorld{t: t, rand: rand.New(rand.NewPCG(1, 1)), now: time.Unix(1000, 0), reliable: true}
-	w.ledger = ledger(int64(float64(routers) * perSecond * seconds * mean * 13 / 10))
+	w := &pooledSimulation{t: t, rand: rand.New(rand.NewPCG(1, 1)), now: time.Unix(1000, 0), reliable: true}
+	w.ledger = newLedger(int64(float64(routers) * perSecond * seconds * mean * 13 / 10))
 	z := &pooledZone{name: "owner", owner: &allotter.Purse{}, incarnation: 1, started: w.now}
 	for range routers {
-		z.borrowers, z.running = append(z.borrowers, &allotter.Purse{}), append(z.running, nil)
+		z.borrowers, z.reservations = append(z.borrowers, &allotter.Purse{}), append(z.reservations, nil)
 	}
-	asked, refused := 0, 0
+	sent, refused := 0, 0
 	const step = 10 * time.Millisecond
 	for at := time.Duration(0); at < seconds*time.Second; at += step {
 		w.now = w.now.Add(step)
@@ -165,36 +166,36 @@
 			w.claim(z)
 		}
 		for i := range routers {
-			if len(z.running[i]) > 0 && w.rand.IntN(50) == 0 {
+			if len(z.reservations[i]) > 0 && w.rand.IntN(50) == 0 {
 				w.finish(z, i)
 			}
 			if w.rand.Float64() < perSecond*step.Seconds() {
-				asked++
+				sent++
 				if !w.request(z, i, int64(mean*w.rand.ExpFloat64())+1) {
 					refused++
 				}
 			}
 		}
 	}
-	g.Expect(refused*100).To(gomega.BeNumerically("<=", asked*3), "refused of %d", asked)
+	g.Expect(refused*100).To(gomega.BeNumerically("<=", sent*3), "refused of %d", sent)
 }
 
-// Pattern: 333 workspaces at 985 routers: in each of five zones a request of a small workspace
-// comes every 2.4 s, and its total is 1.3 times what a day asks for. Guards against owners that
-// each keep rights ahead which their zone does not need, so that a total is refused long before
-// it is spent.
-func TestOwnersOfAllZonesUseATotalUp(t *testing.T) {
+// Guards against owners that each hold tokens which their zone does not need, so that requests are
+// refused long before a total is spent. The fleet has 333 workspaces and 985 routers. Each of five
+// zones receives a request of a small workspace every 2.4 s, and the total is 1.3 times the day's
+// demand.
+func TestOwnersOfAllZonesCanSpendATotal(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const zones, perSecond, seconds, mean, workspaces = 5, 0.42, 25, 4_400, 40
-	asked, refused, owed := 0, 0, 0
+	sent, refused, refusedThoughFitting := 0, 0, 0
 	for seed := range uint64(workspaces) {
-		w := &pooledWorld{t: t, rand: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0), reliable: true}
+		w := &pooledSimulation{t: t, rand: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0), reliable: true}
 		total := int64(float64(zones) * perSecond * seconds * mean * 13 / 10)
-		w.ledger = ledger(total)
+		w.ledger = newLedger(total)
 		for i := range zones {
 			z := &pooledZone{name: fmt.Sprint("owner", i), owner: &allotter.Purse{}, incarnation: uint64(i + 1), started: w.now}
 			z.owner.Pool(zones, total)
-			z.borrowers, z.running = []*allotter.Purse{{}}, [][]int64{nil}
+			z.borrowers, z.reservations = []*allotter.Purse{{}}, [][]int64{nil}
 			w.zones = append(w.zones, z)
 		}
 		spent := int64(0)
@@ -209,12 +210,12 @@
 					continue
 				}
 				n := int64(mean*w.rand.ExpFloat64()) + 1
-				asked++
+				sent++
 				switch fits := spent+n <= total*97/100; {
 				case w.request(w.zones[i], 0, n):
 					spent += n
 				case fits:
-					owed++
+					refusedThoughFitting++
 					refused++
 				default:
 					refused++
@@ -222,6 +223,6 @@
 			}
 		}
 	}
-	t.Logf("refused %d of %d, %d of them although they fit", refused, asked, owed)
-	g.Expect(owed*100).To(gomega.BeNumerically("<=", asked), "of %d", asked)
+	t.Logf("refused %d of %d, %d of them although they fit", refused, sent, refusedThoughFitting)
+	g.Expect(refusedThoughFitting*100).To(gomega.BeNumerically("<=", sent), "of %d", sent)
 }
--- a/allotter/power_loss_test.go
+++ b/allotter/power_loss_test.go
@@ -12,18 +12,18 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// fleetOfPurses is routers that settle several workspaces with one ledger.
-type fleetOfPurses struct {
-	ledger     *allotter.Ledger
-	workspaces []string
-	purses     []map[string]*allotter.Purse
-	floor      int64
-	pause      time.Duration
-	answered   []uint64
+// simulatedFleet is a set of routers that settle several workspaces with one ledger.
+type simulatedFleet struct {
+	ledger      *allotter.Ledger
+	workspaces  []string
+	allocations []map[string]*allotter.Purse
+	floor       int64
+	interval    time.Duration
+	answered    []uint64
 }
 
-func newFleetOfPurses(routers, workspaces int, total int64, pause time.Duration) *fleetOfPurses {
-	f := &fleetOfPurses{ledger: allotter.NewLedger(), pause: pause, answered: make([]uint64, routers)}
+func newSimulatedFleet(routers, workspaces int, total int64, pause time.Duration) *simulatedFleet {
+	f := &simulatedFleet{ledger: allotter.NewLedger(), interval: pause, answered: make([]uint64, routers)}
 	f.floor = total / int64(8*routers)
 	var totals []*messenger.PrepaidTotal
 	for i := range workspaces {
@@ -32,34 +32,34 @@
 	}
 	f.ledger.SetTotals(totals)
 	for range routers {
-		purses := map[string]*allotter.Purse{}
+		allocations := map[string]*allotter.Purse{}
 		for _, w := range f.workspaces {
-			purses[w] = &allotter.Purse{}
-			purses[w].Among(routers)
+			allocations[w] = &allotter.Purse{}
+			allocations[w].Among(routers)
 		}
-		f.purses = append(f.purses, purses)
+		f.allocations = append(f.allocations, allocations)
 	}
 	return f
 }
 
-// settle sends one router's claim and takes the answer in.
-func (f *fleetOfPurses) settle(router int, now time.Time) {
+// sendClaim sends one router's claim and applies the answer.
+func (f *simulatedFleet) sendClaim(router int, now time.Time) {
 	sequence++
 	c := &messenger.RightsChange{
-		Router: fmt.Sprint(router), Incarnation: 1, Sequence: sequence, Answered: f.answered[router], Binding: true, Sent: moment(now), Started: moment(now),
+		Router: fmt.Sprint(router), Incarnation: 1, Sequence: sequence, Answered: f.answered[router], Binding: true, Sent: momentAt(now), Started: momentAt(now),
 	}
-	var named, leftOut []*allotter.Purse
+	var claimed, leftOut []*allotter.Purse
 	for _, w := range f.workspaces {
-		p := f.purses[router][w]
-		if !p.Due(now, f.floor, f.pause) && p.LeaveOut(now) {
+		p := f.allocations[router][w]
+		if !p.Due(now, f.floor, f.interval) && p.LeaveOut(now) {
 			leftOut = append(leftOut, p)
 			continue
 		}
-		named = append(named, p)
-		c.Claims = append(c.Claims, p.Claim(now, w, f.floor, f.pause))
+		claimed = append(claimed, p)
+		c.Claims = append(c.Claims, p.Claim(now, w, f.floor, f.interval))
 	}
 	grants := f.ledger.Claim(c)
-	for i, p := range named {
+	for i, p := range claimed {
 		p.Granted(grants.Grants[i], c.Claims[i], now)
 	}
 	for _, p := range leftOut {
@@ -68,27 +68,28 @@
 	f.answered[router] = sequence
 }
 
-// loss ends all routers: power fails at died, and their successors start at back. It
-// returns the tokens written off beyond what was spent.
-func (f *fleetOfPurses) loss(back time.Time) (lost int64) {
-	for i, purses := range f.purses {
+// losePower ends all routers and starts their successors at restartedAt. It returns the tokens
+// that the ledger counts as spent beyond those that the routers used.
+func (f *simulatedFleet) losePower(restartedAt time.Time) (writtenOff int64) {
+	for i, allocations := range f.allocations {
 		sequence++
 		out := f.ledger.Claim(&messenger.RightsChange{
-			Router: fmt.Sprint(i), Incarnation: 2, Sequence: sequence, Sent: moment(back), Started: moment(back),
+			Router: fmt.Sprint(i), Incarnation: 2, Sequence: sequence, Sent: momentAt(restartedAt), Started: momentAt(restartedAt),
 		})
 		_ = out
-		for _, p := range purses {
-			lost -= p.Used()
+		for _, p := range allocations {
+			writtenOff -= p.Used()
 		}
 	}
 	for _, b := range f.ledger.Balances() {
-		lost += b.Ended
+		writtenOff += b.Ended
 	}
-	return lost
+	return writtenOff
 }
 
-// Pattern: all of 66 routers lose power together and are back 1.7 s later. Each has a few
-// callers, so most of its 24 workspaces are idle; 1.3 million tokens a second in all.
+// Guards against writing off too many tokens when all 66 routers lose power together and are back
+// 1.7 s later. Each router has a few callers, so most of its 24 workspaces are idle. The total
+// demand is 1.3 million tokens per second.
 func TestPowerLossOfAllWritesLittleOff(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const routers, workspaces, callers, pause = 66, 24, 5, 1375 * time.Millisecond
@@ -98,7 +99,7 @@
 	const seeds = 5
 	for seed := range uint64(seeds) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		f := newFleetOfPurses(routers, workspaces, 50_000_000, pause)
+		f := newSimulatedFleet(routers, workspaces, 50_000_000, pause)
 		start := time.Unix(1000, 0)
 		serves := make([][]string, routers)
 		for i := range serves {
@@ -111,13 +112,13 @@
 			now = start.Add(at)
 			for i := range routers {
 				if (at+pause*time.Duration(i)/routers)%pause < step {
-					f.settle(i, now)
+					f.sendClaim(i, now)
 				}
 				for tokens := perRouter * step.Seconds(); r.Float64() < tokens/3_200; tokens -= 3_200 {
 					n := int64(3_200 * r.ExpFloat64())
-					p := f.purses[i][serves[i][r.IntN(callers)]]
+					p := f.allocations[i][serves[i][r.IntN(callers)]]
 					if !p.Reserve(now, n) {
-						f.settle(i, now)
+						f.sendClaim(i, now)
 						if !p.Retry(now, n) {
 							continue
 						}
@@ -126,7 +127,7 @@
 				}
 			}
 		}
-		lost += f.loss(now.Add(down))
+		lost += f.losePower(now.Add(down))
 	}
 	seconds := float64(lost) / seeds / (routers * perRouter)
 	t.Logf("written off beyond what was spent: %.2f s of demand", seconds)
--- a/allotter/sparse_test.go
+++ b/allotter/sparse_demand_test.go
@@ -12,39 +12,38 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Pattern: 63 routers each see one request of a small workspace in 2.6 s, as
-// uneven in size as prompts are, and the total is 1.3 times what a day of 41 s
-// asks for. What each holds ahead, 14 s of such a rate, is a third of the day's
-// demand for all of them; it must come back in time, so that at most one request
-// in a hundred is refused.
-func TestSparseDemandDoesNotTieATotalUp(t *testing.T) {
+// Each of 63 routers receives one request of a small workspace in 2.6 s, of varying size as
+// prompts are, and the total is 1.3 times the demand of a day of 41 s. The tokens that all routers
+// hold for 14 s of such demand are a third of the day's demand. They must be returned in time for
+// at most 1% of the requests to be refused.
+func TestSparseDemandCanUseTheTotal(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const routers, perSecond, mean, seconds = 63, 0.38, 3_000, 41
 	total := float64(routers) * perSecond * mean * seconds * 13 / 10
 	const pause, floor = 1300 * time.Millisecond, int64(7_595)
 	r := rand.New(rand.NewPCG(1, 1))
-	l := ledger(int64(total))
+	l := newLedger(int64(total))
 	start := time.Unix(1000, 0)
-	purses := make([]*allotter.Purse, routers)
+	allocations := make([]*allotter.Purse, routers)
 	claimed := make([]time.Time, routers)
-	for i := range purses {
-		purses[i], claimed[i] = &allotter.Purse{}, start.Add(-time.Duration(i)*pause/routers)
+	for i := range allocations {
+		allocations[i], claimed[i] = &allotter.Purse{}, start.Add(-time.Duration(i)*pause/routers)
 	}
 	claim := func(i int, now time.Time) {
-		c := purses[i].Claim(now, workspace, floor, pause)
+		c := allocations[i].Claim(now, workspace, floor, pause)
 		sequence++
 		grants := l.Claim(&messenger.RightsChange{
 			Router: strconv.Itoa(i), Incarnation: 9, Claims: []*messenger.RightsClaim{c}, Sequence: sequence,
-			Answered: sequence - 1, Sent: moment(now), Started: moment(now),
+			Answered: sequence - 1, Sent: momentAt(now), Started: momentAt(now),
 		})
-		purses[i].Granted(grants.Grants[0], c, now)
+		allocations[i].Granted(grants.Grants[0], c, now)
 		claimed[i] = now
 	}
-	var asked, refused int
+	var sent, refused int
 	const step = 10 * time.Millisecond
 	for at := time.Duration(0); at < seconds*time.Second; at += step {
 		now := start.Add(at)
-		for i, p := range purses {
+		for i, p := range allocations {
 			if now.Sub(claimed[i]) > pause && p.Due(now, floor, pause) {
 				claim(i, now)
 			}
@@ -52,7 +51,7 @@
 				continue
 			}
 			n := int64(mean * r.ExpFloat64())
-			asked++
+			sent++
 			got := p.Reserve(now, n)
 			if !got {
 				claim(i, now)
@@ -69,25 +68,24 @@
 			t.Logf("%v: left %d%%, held %d%%, spent %d%%", at, 100*b.Left/b.Total, 100*(b.Held-b.Spent)/b.Total, 100*b.Spent/b.Total)
 		}
 	}
-	g.Expect(refused*100).To(gomega.BeNumerically("<=", asked), "refused of %d", asked)
+	g.Expect(refused*100).To(gomega.BeNumerically("<=", sent), "refused of %d", sent)
 }
 
-// Pattern: 78 routers hold 24 workspaces ahead of demand, an eighth of an even share of
-// each: 8,000 tokens of 5 million. Twelve of them lose power for 3.5 s, 1.6 s after
-// their last claims; what the claims before those stated may still be in force. At least
-// half of what nobody asked them for must come back: all of it would be 1.9 in 100 of
-// totals that are owed up to 97.
-func TestIdleWorkspacesComeBackFromDeadRouters(t *testing.T) {
+// 78 routers hold 24 workspaces ahead of demand, an eighth of an even share of each, or 8,000
+// tokens of 5 million. Twelve of them lose power for 3.5 s, 1.6 s after their last claims, and the
+// bounds of the claims before those may still be in force. At least half of the unrequested tokens
+// must be recovered: all of them would be 1.9% of totals of which users are owed 97%.
+func TestTokensOfIdleWorkspacesAreRecoveredFromCrashedRouters(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const total, floor, pause = int64(5_000_000), int64(8_000), 1600 * time.Millisecond
-	l := ledger(total)
+	l := newLedger(total)
 	now := time.Unix(1000, 0)
 	settle := func(i int, p *allotter.Purse, at time.Time) {
 		c := p.Claim(at, workspace, floor, pause)
 		sequence++
 		grants := l.Claim(&messenger.RightsChange{
 			Router: strconv.Itoa(i), Incarnation: 9, Claims: []*messenger.RightsClaim{c}, Sequence: sequence,
-			Answered: sequence - 1, Sent: moment(at), Started: moment(at),
+			Answered: sequence - 1, Sent: momentAt(at), Started: momentAt(at),
 		})
 		p.Granted(grants.Grants[0], c, at)
 	}
@@ -102,13 +100,13 @@
 			held += floor
 		}
 	}
-	died := now.Add(3 * pause)
-	back := died.Add(3500 * time.Millisecond)
+	crashedAt := now.Add(3 * pause)
+	restartedAt := crashedAt.Add(3500 * time.Millisecond)
 	var lost int64
 	for i := range 12 {
 		sequence++
 		out := l.Claim(&messenger.RightsChange{
-			Router: strconv.Itoa(i), Incarnation: 10, Sequence: sequence, Sent: moment(back), Started: moment(back),
+			Router: strconv.Itoa(i), Incarnation: 10, Sequence: sequence, Sent: momentAt(restartedAt), Started: momentAt(restartedAt),
 		})
 		lost += out.WrittenOff
 	}
