--- a/quarantiner/fingerprint.go
+++ b/quarantiner/fingerprint.go
@@ -1,6 +1,6 @@
-// Package quarantiner finds requests that end the endpoints that run them, from which
-// requests were under way at which endpoints that ended. It is pure: time comes in
-// as an argument.
+// Package quarantiner finds requests that crash the endpoints that run them. It infers them from
+// the requests that were in progress at endpoints that crashed. It reads no clock: times are
+// arguments.
 package quarantiner
 
 import (
@@ -10,31 +10,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint stands for all requests of one workspace that are equal: the same
-// method, host, target and body, whatever their ids. The workspace is kept beside the
-// hash, so that nobody can build a request that is taken for one of another workspace.
+// Fingerprint identifies all equal requests of one workspace: those with the same method, host,
+// target and body, whatever their ids. The workspace is kept next to the hash, so that nobody can
+// construct a request that collides with one of another workspace.
 type Fingerprint struct {
-	// Workspace is "" where the route asks for no key.
+	// Workspace is empty if the route requires no key.
 	Workspace string
 	Sum       uint64
 }
 
-// Request is what makes two requests equal.
+// Request holds the parts of a request that its fingerprint depends on.
 type Request struct {
 	Workspace string
 	Method    string
 	Host      string
-	// Target is path and query, as sent.
+	// Target is the path and query as sent.
 	Target string
 	Body   []byte
 }
 
-// Fingerprint returns what stands for the request.
+// Fingerprint returns the fingerprint of the request.
 func (r Request) Fingerprint() Fingerprint {
 	d := xxhash.New()
 	var length [8]byte
 	for _, part := range []string{r.Method, r.Host, r.Target} {
-		// Without lengths, two requests whose parts divide otherwise would be one.
+		// Without the lengths, two requests with the same bytes divided differently would be
+		// equal.
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		// Writes to a digest never fail.
 		_, _ = d.Write(length[:])
@@ -44,5 +45,5 @@
 	return Fingerprint{Workspace: r.Workspace, Sum: d.Sum64()}
 }
 
-// String returns the hash as it stands in log lines.
+// String returns the hash as it appears in log lines.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", f.Sum) }
--- a/quarantiner/fingerprint_test.go
+++ b/quarantiner/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"rattanhoist.example/rattanhoist/quarantiner"
 )
 
-func TestRequestsThatDifferInAnyPartHaveOtherFingerprints(t *testing.T) {
+func TestFingerprintDependsOnEveryPartOfARequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	first := quarantiner.Request{Workspace: "labone", Method: "POST", Host: "a.example", Target: "/a/x", Body: []byte("b")}
 	equal := first
--- a/quarantiner/message.go
+++ b/quarantiner/message.go
@@ -7,17 +7,17 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// FingerprintOf returns the fingerprint that a message names.
+// FingerprintFromMessage returns the fingerprint in a message.
 func FingerprintOf(c *messenger.Content) Fingerprint {
 	return Fingerprint{Workspace: c.GetWorkspace(), Sum: c.GetSum()}
 }
 
-// Content returns the message that names the fingerprint.
+// Message returns the message for the fingerprint.
 func (f Fingerprint) Content() *messenger.Content {
 	return &messenger.Content{Workspace: f.Workspace, Sum: f.Sum}
 }
 
-// CrashOf returns the crash that a message tells of which came now.
+// CrashFromMessage returns the crash in a message that was received now.
 func CrashOf(now time.Time, c *messenger.Crash) Crash {
 	return Crash{
 		Request: FingerprintOf(c.GetRequest()), Endpoint: enroller.Incarnation{ID: c.GetEndpoint(), BornMS: c.GetBornMs()},
@@ -26,7 +26,7 @@
 	}
 }
 
-// Message returns the message that tells of the crash now.
+// Message returns the message that reports the crash if it is sent now.
 func (c Crash) Message(now time.Time) *messenger.Crash {
 	return &messenger.Crash{
 		Request: c.Request.Content(), Endpoint: c.Endpoint.ID, BornMs: c.Endpoint.BornMS, UnderwayMs: c.Underway.Milliseconds(),
