--- a/warmer/gate.go
+++ b/warmer/gate.go
@@ -14,9 +14,9 @@
 	// shedding load.
 	restricted atomic.Bool
 	mu         sync.Mutex
-	// Until is when the endpoint is warm, by heartbeats and evacuations; told is the
-	// same by its own answers. The later one counts.
-	until, told time.Time
+	// ColdUntil is when the endpoint is warm according to heartbeats and evacuations.
+	// ReportedColdUntil is the same according to its own responses. The later of the two applies.
+	coldUntil, reportedColdUntil time.Time
 	// RateLimit is the rate limit in effect.
 	rateLimit rateLimitState
 	// Backoff is the Retry-After state of the endpoint.
@@ -25,12 +25,12 @@
 	coldQuota, rateQuota quota
 }
 
-// Set states until when the endpoint is cold, and the share that the router owns until
-// it expires.
+// SetCold sets until when the endpoint is cold, and the router's share, which it may use until it
+// expires.
 func (g *Gate) Set(now, until time.Time, s Share, expires time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.until = until
+	g.coldUntil = until
 	g.coldQuota.set(now, s, expires)
 	g.updateRestricted(now)
 }
@@ -43,11 +43,11 @@
 	g.rateQuota.set(now, s, expires)
 }
 
-// Extend notes that the endpoint itself says that it stays cold until then.
+// SetReportedCold records until when the endpoint itself reports to be cold.
 func (g *Gate) Extend(now, until time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.told = until
+	g.reportedColdUntil = until
 	g.updateRestricted(now)
 }
 
@@ -135,7 +135,9 @@
 	return g.isCold(now) || g.rateLimit.limit.Limited || g.backoff.shedding()
 }
 
-func (g *Gate) isCold(now time.Time) bool { return g.until.After(now) || g.told.After(now) }
+func (g *Gate) isCold(now time.Time) bool {
+	return g.coldUntil.After(now) || g.reportedColdUntil.After(now)
+}
 
 func (g *Gate) updateRestricted(now time.Time) { g.restricted.Store(g.isRestricted(now)) }
 
--- a/warmer/limit.go
+++ b/warmer/limit.go
@@ -7,19 +7,19 @@
 import "time"
 
 const (
-	// maxViews is how many sets of owners may stand side by side while routers
-	// disagree on who is a member.
+	// maxViews is the number of different sets of owners that may be active at the same time,
+	// while routers disagree about the members of the fleet.
 	maxViews = 2
-	// minOwnerLoad is the least that one owner may send in a second; with less, another
-	// owner would only divide what the limit allows.
+	// minOwnerLoad is the minimum number of requests per second that one owner should be allowed.
+	// With fewer, more owners would only divide the limit further.
 	minOwnerLoad = 3
-	// burst is what an owner may send at once.
+	// burst is the number of requests that an owner may send at once.
 	burst = 1
 )
 
-// Limit bounds the requests to one endpoint. The zero value is no bound.
+// Limit bounds the requests to one endpoint. The zero value means no bound.
 type Limit struct {
-	// PerSecond is the rate that the endpoint tolerates; 0 for any.
+	// PerSecond is the request rate that the endpoint tolerates, or 0 for any.
 	PerSecond float64
 	// At most Overshoot x PerSecond x Window + Slack requests may arrive in any Window from
 	// all routers combined, even while they disagree on the owners.
@@ -30,17 +30,17 @@
 	MinPerSecond float64
 }
 
-// Share is what one owner may send: a token bucket of Burst that fills at Rate a second.
+// Share is what one owner may send: a token bucket of size Burst that refills at Rate per second.
 type Share struct{ Rate, Burst float64 }
 
-// max is the most that may arrive in a window.
-func (l Limit) max() float64 { return l.PerSecond*l.Window.Seconds()*l.Overshoot + l.Slack }
+// maxPerWindow returns the maximum number of requests that may arrive in a window.
+func (l Limit) maxPerWindow() float64 { return l.PerSecond*l.Window.Seconds()*l.Overshoot + l.Slack }
 
-// Split returns how many owners an endpoint has, and the share of each. In any window
-// the owners send at most owners x (Burst + Rate x Window) requests; maxViews times that
-// is within the limit, and owners x Rate is at most max(PerSecond, MinPerSecond).
+// Split returns the number of owners of an endpoint, and the share of each. In any window the
+// owners send at most owners x (Burst + Rate x Window) requests. maxViews times that is within the
+// limit, and owners x Rate is at most max(PerSecond, MinPerSecond).
 func (l Limit) Split() (owners int, s Share) {
-	view, window := l.max()/maxViews, l.Window.Seconds()
+	view, window := l.maxPerWindow()/maxViews, l.Window.Seconds()
 	if view < burst {
 		return 0, Share{}
 	}
--- a/warmer/members.go
+++ b/warmer/members.go
@@ -8,36 +8,37 @@
 )
 
 const (
-	// maxListAge is how long a router acts on a list of members.
+	// maxListAge is how long a router relies on a list of members.
 	maxListAge = 4 * time.Second
-	// settleTime is how long a router must have had lists without a gap before it owns
-	// anything: by then all others have a list that names it.
+	// settleTime is how long a router must have received lists without a gap before it owns
+	// anything. By then all other routers have a list that contains it.
 	settleTime = maxListAge + 2*time.Second
-	// memberTTL is how long a member counts after the last list that named it. A router
-	// that is cut off acts on its last list for less.
+	// memberTTL is how long a member counts after the last list that contained it. It exceeds the
+	// time for which a router that is cut off relies on its last list.
 	memberTTL = maxListAge + time.Second
 )
 
 // Member is a router of the fleet.
 type Member struct{ Address, Zone string }
 
-// Members is what one router knows of the others, for the question which of them own a
-// cold endpoint. A member that stays in doubt counts: it can only take shares away. Not
+// Members holds the routers that this router knows, to determine the owners of an endpoint. A
+// member that may be gone still counts, because it can only reduce the shares of others. It is not
 // safe for concurrent use.
 type Members struct {
 	self Member
 	seen map[Member]time.Time
-	// ListedAt is when the last list came, and since when lists came without a gap.
-	listedAt, since time.Time
+	// ListedAt is when the last list arrived. GaplessSince is when lists began to arrive without a
+	// gap.
+	listedAt, gaplessSince time.Time
 }
 
-// NewMembers returns the members as a router that has just started knows them.
+// NewMembers returns the members that a router knows when it has just started.
 func NewMembers(self Member) *Members { return &Members{self: self, seen: map[Member]time.Time{}} }
 
-// Observe takes in a list of a keeper whose copy a majority confirmed lately.
+// Observe records a list from a keeper whose copy a majority has recently confirmed.
 func (m *Members) Observe(now time.Time, list []Member) {
 	if m.listedAt.IsZero() || now.Sub(m.listedAt) > maxListAge {
-		m.since = now
+		m.gaplessSince = now
 	}
 	m.listedAt = now
 	for _, x := range list {
@@ -50,16 +51,16 @@
 	}
 }
 
-// Until returns until when the router may act as an owner, or the zero time.
+// OwnerUntil returns until when the router may act as an owner, or the zero time if it may not.
 func (m *Members) Until(now time.Time) time.Time {
-	if m.listedAt.IsZero() || now.Sub(m.listedAt) > maxListAge || now.Sub(m.since) < settleTime {
+	if m.listedAt.IsZero() || now.Sub(m.listedAt) > maxListAge || now.Sub(m.gaplessSince) < settleTime {
 		return time.Time{}
 	}
 	return m.listedAt.Add(maxListAge)
 }
 
-// Owns reports whether this router is one of an endpoint's owners: the members with the
-// highest hashes, those of the endpoint's zone first.
+// IsOwner reports whether this router is one of an endpoint's owners. The owners are the members
+// with the highest hashes, and members in the endpoint's zone come first.
 func (m *Members) Owns(endpoint, zone string, owners int) bool {
 	own := rank(m.self, endpoint, zone)
 	ahead := 0
@@ -74,8 +75,8 @@
 	return ahead < owners
 }
 
-// OtherOwners returns the addresses of an endpoint's owners, the highest rank first, to a
-// router that is none itself.
+// OtherOwners returns the addresses of an endpoint's owners by rank, for a router that is not an
+// owner itself.
 func (m *Members) OtherOwners(endpoint, zone string, owners int) []string {
 	var ranks []position
 	for x := range m.seen {
@@ -96,20 +97,21 @@
 	return out
 }
 
+// position is the rank of a member among the possible owners of an endpoint.
 type position struct {
-	elsewhere bool
+	otherZone bool
 	hash      uint64
 	address   string
 }
 
 func rank(m Member, endpoint, zone string) position {
-	return position{elsewhere: m.Zone != zone, hash: xxhash.Sum64String(m.Address + "\x00" + endpoint), address: m.Address}
+	return position{otherZone: m.Zone != zone, hash: xxhash.Sum64String(m.Address + "\x00" + endpoint), address: m.Address}
 }
 
 func (p position) before(o position) bool {
 	switch {
-	case p.elsewhere != o.elsewhere:
-		return o.elsewhere
+	case p.otherZone != o.otherZone:
+		return o.otherZone
 	case p.hash != o.hash:
 		return p.hash > o.hash
 	}
--- a/warmer/quota.go
+++ b/warmer/quota.go
@@ -6,7 +6,7 @@
 type quota struct {
 	share   Share
 	expires time.Time
-	// Tokens is what the bucket held at filledAt; before the first time it is full.
+	// Tokens is the content of the bucket at filledAt. Before the first use the bucket is full.
 	tokens   float64
 	filledAt time.Time
 }
--- a/warmer/rate_limit_test.go
+++ b/warmer/rate_limit_test.go
@@ -116,15 +116,15 @@
 func (f *rateLimitedFleet) step(now time.Time, ratePerRouter float64) {
 	for i, r := range f.routers {
 		s := f.states[i]
-		if now.Before(r.dead) {
+		if now.Before(r.deadUntil) {
 			continue
 		}
 		if r.known == nil {
-			r.known, r.gate, r.owner, r.lists = warmer.NewMembers(r.member), &warmer.Gate{}, false, now
+			r.known, r.gate, r.owner, r.nextList = warmer.NewMembers(r.member), &warmer.Gate{}, false, now
 			*s = routerState{}
 		}
-		if !now.Before(r.asks) && !now.Before(r.cut) {
-			f.ask(now, r)
+		if !now.Before(r.nextQuery) && !now.Before(r.cutUntil) {
+			f.queryKeeper(now, r)
 		}
 		f.deliver(now, r, s)
 		_, share := f.fleet.limit.Split()
@@ -143,8 +143,8 @@
 }
 
 func (f *rateLimitedFleet) send(now time.Time, s *routerState) {
-	emittedAt := now.Add(f.between(time.Millisecond, 300*time.Millisecond))
-	s.pending = append(s.pending, response{deliverAt: emittedAt.Add(f.between(time.Millisecond, 200*time.Millisecond)), emittedAt: emittedAt, sentAt: now})
+	emittedAt := now.Add(f.randomDuration(time.Millisecond, 300*time.Millisecond))
+	s.pending = append(s.pending, response{deliverAt: emittedAt.Add(f.randomDuration(time.Millisecond, 200*time.Millisecond)), emittedAt: emittedAt, sentAt: now})
 	if !f.reported.Limited || s.notified.IsZero() || now.Sub(s.notified) < notificationGrace {
 		return
 	}
@@ -184,10 +184,10 @@
 
 // poll queries an owner for the limit, if the router owns no share and so sends no requests.
 func (f *rateLimitedFleet) poll(now time.Time, r *router, s *routerState) {
-	if !r.gate.RateLimit().Limited || r.owner || now.Before(s.nextPoll) || now.Before(r.cut) {
+	if !r.gate.RateLimit().Limited || r.owner || now.Before(s.nextPoll) || now.Before(r.cutUntil) {
 		return
 	}
-	s.nextPoll = now.Add(f.between(500*time.Millisecond, 1500*time.Millisecond))
+	s.nextPoll = now.Add(f.randomDuration(500*time.Millisecond, 1500*time.Millisecond))
 	owners, _ := f.fleet.limit.Split()
 	list := r.known.OtherOwners("endpoint", "z0", owners)
 	if len(list) == 0 {
@@ -195,11 +195,11 @@
 	}
 	address := list[f.rng.IntN(len(list))]
 	for _, o := range f.routers {
-		if o.member.Address != address || o.gate == nil || now.Before(o.dead) || now.Before(o.cut) {
+		if o.member.Address != address || o.gate == nil || now.Before(o.deadUntil) || now.Before(o.cutUntil) {
 			continue
 		}
 		if l, sentAt, receivedAt := o.gate.LastRateLimit(); !sentAt.IsZero() {
-			s.pending = append(s.pending, response{deliverAt: now.Add(f.between(time.Millisecond, time.Second)), sentAt: sentAt, receivedAt: receivedAt, limit: l})
+			s.pending = append(s.pending, response{deliverAt: now.Add(f.randomDuration(time.Millisecond, time.Second)), sentAt: sentAt, receivedAt: receivedAt, limit: l})
 		}
 	}
 }
@@ -248,7 +248,7 @@
 		}
 		f.step(now, ratePerRouter)
 		if now.Sub(start) < 55*time.Second {
-			f.trouble(now)
+			f.injectFaults(now)
 		}
 	}
 	for i, r := range f.routers {
--- a/warmer/warmer_test.go
+++ b/warmer/warmer_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-// Guards against shares that sum above the limit, and against owners without a share.
+// Guards against shares that add up to more than the limit, and against owners without a share.
 func TestSharesStayWithinTheLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, rate := range []float64{0.5, 1, 4, 14, 40, 300} {
@@ -21,41 +21,43 @@
 			l := warmer.Limit{PerSecond: rate, Overshoot: 1.5, Slack: slack, Window: time.Second}
 			owners, s := l.Split()
 			all := float64(owners) * (s.Burst + s.Rate)
-			g.Expect(2*all).To(gomega.BeNumerically("<=", rate*1.5+slack+1e-9), "%v: two views", l)
+			g.Expect(2*all).To(gomega.BeNumerically("<=", rate*1.5+slack+1e-9), "%v: with two views", l)
 			g.Expect(float64(owners)*s.Rate).To(gomega.BeNumerically("<=", rate+1e-9), "%v", l)
 			if rate*1.5+slack >= 4 {
-				g.Expect(owners).To(gomega.BeNumerically(">", 0), "%v: somebody must warm it up", l)
+				g.Expect(owners).To(gomega.BeNumerically(">", 0), "%v: an owner is needed", l)
 			}
 		}
 	}
 }
 
-// router is a simulated process that sends to a cold endpoint whenever it may.
+// router is a simulated process that sends to a cold endpoint whenever it is allowed to.
 type router struct {
 	member warmer.Member
 	known  *warmer.Members
 	gate   *warmer.Gate
 	owner  bool
-	// Dead and cut are until when it does not run, or reaches no keeper.
-	dead, cut time.Time
-	// Asks is when it asks a keeper next, lists when it is told of all members next.
-	asks, lists time.Time
-	// Joined is when keepers first heard it since they last forgot it, heard when last.
-	joined, heard time.Time
+	// DeadUntil is when the process runs again, and cutUntil when it reaches keepers again.
+	deadUntil, cutUntil time.Time
+	// NextQuery is when it queries a keeper next, and nextList when it receives the next list
+	// of members.
+	nextQuery, nextList time.Time
+	// JoinedAt is when keepers first heard from it since they last forgot it, and heardAt when they
+	// last did.
+	joinedAt, heardAt time.Time
 }
 
 const (
-	// keeperLag is how late a keeper knows what another one heard, keeperSilence after
-	// how long keepers forget a router.
-	keeperLag     = 900 * time.Millisecond
-	keeperSilence = 3 * time.Second
-	minAsk        = 200 * time.Millisecond
-	maxAsk        = 600 * time.Millisecond
-	maxListGap    = 3500 * time.Millisecond
-	tick          = 20 * time.Millisecond
+	// keeperLag is the delay until a keeper knows what another one heard. KeeperSilence is how
+	// long keepers remember a router that is silent.
+	keeperLag        = 900 * time.Millisecond
+	keeperSilence    = 3 * time.Second
+	minQueryInterval = 200 * time.Millisecond
+	maxQueryInterval = 600 * time.Millisecond
+	maxListGap       = 3500 * time.Millisecond
+	tick             = 20 * time.Millisecond
 )
 
-// fleet is routers and what keepers know of them.
+// fleet is a set of routers and what the keepers know about them.
 type fleet struct {
 	rng     *rand.Rand
 	limit   warmer.Limit
@@ -63,16 +65,16 @@
 	sent    []time.Time
 }
 
-func (f *fleet) between(from, to time.Duration) time.Duration {
+func (f *fleet) randomDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(f.rng.Int64N(int64(to-from)))
 }
 
-// list is what one keeper tells a router.
+// list returns the members that one keeper reports to a router.
 func (f *fleet) list(now time.Time, self *router) []warmer.Member {
-	lag := f.between(0, keeperLag)
+	lag := f.randomDuration(0, keeperLag)
 	var out []warmer.Member
 	for _, r := range f.routers {
-		if r == self || !r.heard.IsZero() && now.Sub(r.heard) < keeperSilence && !r.joined.Add(lag).After(now) {
+		if r == self || !r.heardAt.IsZero() && now.Sub(r.heardAt) < keeperSilence && !r.joinedAt.Add(lag).After(now) {
 			out = append(out, r.member)
 		}
 	}
@@ -81,14 +83,14 @@
 
 func (f *fleet) step(now time.Time) {
 	for _, r := range f.routers {
-		if now.Before(r.dead) {
+		if now.Before(r.deadUntil) {
 			continue
 		}
 		if r.known == nil {
-			r.known, r.gate, r.owner, r.lists = warmer.NewMembers(r.member), &warmer.Gate{}, false, now
+			r.known, r.gate, r.owner, r.nextList = warmer.NewMembers(r.member), &warmer.Gate{}, false, now
 		}
-		if !now.Before(r.asks) && !now.Before(r.cut) {
-			f.ask(now, r)
+		if !now.Before(r.nextQuery) && !now.Before(r.cutUntil) {
+			f.queryKeeper(now, r)
 		}
 		_, share := f.limit.Split()
 		until := r.known.Until(now)
@@ -102,23 +104,23 @@
 	}
 }
 
-func (f *fleet) ask(now time.Time, r *router) {
-	r.asks = now.Add(f.between(minAsk, maxAsk))
-	if r.heard.IsZero() || now.Sub(r.heard) >= keeperSilence {
-		r.joined = now
+func (f *fleet) queryKeeper(now time.Time, r *router) {
+	r.nextQuery = now.Add(f.randomDuration(minQueryInterval, maxQueryInterval))
+	if r.heardAt.IsZero() || now.Sub(r.heardAt) >= keeperSilence {
+		r.joinedAt = now
 	}
-	r.heard = now
-	if now.Before(r.lists) {
+	r.heardAt = now
+	if now.Before(r.nextList) {
 		return
 	}
-	r.lists = now.Add(f.between(minAsk, maxListGap-maxAsk))
+	r.nextList = now.Add(f.randomDuration(minQueryInterval, maxListGap-maxQueryInterval))
 	r.known.Observe(now, f.list(now, r))
 	owners, _ := f.limit.Split()
 	r.owner = r.known.Owns("endpoint", "z0", owners)
 }
 
-// trouble kills and cuts off routers, at times most of them at once.
-func (f *fleet) trouble(now time.Time) {
+// injectFaults kills routers or cuts them off from keepers, sometimes most of them at once.
+func (f *fleet) injectFaults(now time.Time) {
 	killed, cut := 0.0005, 0.0005
 	switch f.rng.IntN(1000) {
 	case 0:
@@ -129,15 +131,15 @@
 	for _, r := range f.routers {
 		switch {
 		case f.rng.Float64() < killed:
-			r.dead, r.known = now.Add(f.between(100*time.Millisecond, 6*time.Second)), nil
+			r.deadUntil, r.known = now.Add(f.randomDuration(100*time.Millisecond, 6*time.Second)), nil
 		case f.rng.Float64() < cut:
-			r.cut = now.Add(f.between(500*time.Millisecond, 15*time.Second))
+			r.cutUntil = now.Add(f.randomDuration(500*time.Millisecond, 15*time.Second))
 		}
 	}
 }
 
-// most returns the highest number sent in any one second.
-func (f *fleet) most() int {
+// maxPerSecond returns the highest number of requests sent in any one second.
+func (f *fleet) maxPerSecond() int {
 	out, from := 0, 0
 	for i, at := range f.sent {
 		for at.Sub(f.sent[from]) >= time.Second {
@@ -148,10 +150,9 @@
 	return out
 }
 
-// Guards against too many requests to a cold endpoint while routers join, die, restart
-// together, are cut off and hold old lists of members. Pattern: every router sends
-// whenever it may. While keepers agree within keeperLag there is one view: half of the
-// limit.
+// Guards against too many requests to a cold endpoint while routers join, crash, restart together,
+// are cut off and use outdated lists of members. Every router sends whenever it is allowed to.
+// Keepers agree within keeperLag, so there is only one view, which may use half of the limit.
 func TestRoutersTogetherStayWithinTheLimit(t *testing.T) {
 	for _, n := range []int{2, 6, 66, 295} {
 		for _, rate := range []float64{1, 4, 14} {
@@ -168,26 +169,26 @@
 					}
 					for now := start; now.Before(start.Add(time.Minute)); now = now.Add(tick) {
 						f.step(now)
-						f.trouble(now)
+						f.injectFaults(now)
 					}
 					owners, s := f.limit.Split()
-					if allowed := float64(owners) * (s.Burst + s.Rate); float64(f.most()) > allowed {
-						t.Fatalf("seed %d: %d requests in one second, %g in one view", seed, f.most(), allowed)
+					if allowed := float64(owners) * (s.Burst + s.Rate); float64(f.maxPerSecond()) > allowed {
+						t.Fatalf("seed %d: %d requests in one second, %g in one view", seed, f.maxPerSecond(), allowed)
 					}
 					if len(f.sent) == 0 {
 						silent++
 					}
 				}
-				// Losses of power can follow each other so that nobody owns anything.
+				// After several power losses in a row, no router may own a share.
 				if silent*20 > seeds {
-					t.Fatalf("nothing was ever sent with %d of %d seeds", silent, seeds)
+					t.Fatalf("nothing was sent with %d of %d seeds", silent, seeds)
 				}
 			})
 		}
 	}
 }
 
-// Guards against a gate that stays shut for a warm endpoint, or opens without a right.
+// Guards against a gate that stays closed for a warm endpoint, or opens without a share.
 func TestGateOfAColdEndpoint(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := &warmer.Gate{}
@@ -202,5 +203,5 @@
 	g.Expect(x.Open(start.Add(1500*time.Millisecond))).To(gomega.BeFalse(), "the share has expired")
 	g.Expect(x.Open(cold)).To(gomega.BeTrue())
 	x.Extend(cold, cold.Add(time.Second))
-	g.Expect(x.Open(cold)).To(gomega.BeFalse(), "it says itself that it is cold again")
+	g.Expect(x.Open(cold)).To(gomega.BeFalse(), "the endpoint reports to be cold again")
 }
