--- a/shaper/conn.go
+++ b/shaper/conn.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Listener returns a listener whose connections record what they send and receive.
+// Listener returns a listener whose connections record the bytes that they send and receive.
 func (a *Admission) Listener(inner net.Listener) net.Listener {
 	return &listener{Listener: inner, admission: a}
 }
@@ -29,7 +29,7 @@
 	return &conn{Conn: c, admission: l.admission}, nil
 }
 
-// Read reads from the connection.
+// Read reads from the connection and records the bytes.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -38,7 +38,7 @@
 	return n, err
 }
 
-// Write writes to the connection.
+// Write writes to the connection and records the bytes.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.admission.Sent(time.Now(), n)
--- a/shaper/lag.go
+++ b/shaper/lag.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// lagPeriod is the pause between two samples of a busy process, idleLagPeriod that of
-	// one that is not.
+	// lagPeriod is the time between two samples of a busy process, and idleLagPeriod that of an
+	// idle one.
 	lagPeriod     = 20 * time.Millisecond
 	idleLagPeriod = time.Second
-	// lagSmoothing is the weight of the newest sample: a collection of garbage is no lag.
+	// lagSmoothing is the weight of the newest sample, low enough that a garbage collection does
+	// not count as lag.
 	lagSmoothing = 0.2
 )
 
-// Lag measures how late a process runs: how long a goroutine that is ready waits for the
-// processor. It is safe for concurrent use; the zero value has measured none.
+// Lag measures the scheduling lag of a process: how long a ready goroutine waits for the
+// processor. It is safe for concurrent use. The zero value has no measurement.
 type Lag struct {
 	// Smoothed is in nanoseconds.
 	smoothed atomic.Int64
 }
 
-// Now returns the smoothed lag.
+// Value returns the smoothed lag.
 func (l *Lag) Now() time.Duration { return time.Duration(l.smoothed.Load()) }
 
 // Observe records how late a timer fired.
@@ -31,7 +32,8 @@
 	l.smoothed.Store(int64(old + time.Duration(lagSmoothing*float64(max(late, 0)-old))))
 }
 
-// Run measures until ctx ends; busy reports whether samples are worth their cost.
+// Run measures until ctx ends. Busy reports whether the process is busy enough for frequent
+// samples.
 func (l *Lag) Run(ctx context.Context, busy func() bool) {
 	for ctx.Err() == nil {
 		period := lagPeriod
--- a/shaper/shaper_test.go
+++ b/shaper/link_test.go
@@ -22,7 +22,7 @@
 	g.Expect(l.Delay(start)).To(gomega.BeNumerically("~", 116*time.Millisecond, 2*time.Millisecond))
 	g.Expect(l.Delay(start.Add(100 * time.Millisecond))).To(gomega.BeNumerically("~", 16*time.Millisecond, 2*time.Millisecond))
 	g.Expect(l.Delay(start.Add(time.Second))).To(gomega.BeZero())
-	g.Expect(l.Delay(start)).To(gomega.BeZero(), "a clock that stands still")
+	g.Expect(l.Delay(start)).To(gomega.BeZero(), "time does not advance")
 }
 
 func TestLinkWithoutLimitAdmitsAll(t *testing.T) {
@@ -34,16 +34,16 @@
 	g.Expect(l.Delay(start)).To(gomega.BeZero())
 }
 
-// Guards against a large request that no link ever admits.
+// Guards against a large request that is never admitted on any link.
 func TestIdleLinkAdmitsAnyRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(shaper.New(rate).Admit(start, 4<<20)).To(gomega.BeTrue())
 }
 
-// Pattern: one of 14 routers of a zone gets a third of its callers, and the prompts that it
-// passes on take 1.6 times what its link carries. Guards against a queue at the link that
-// delays control traffic and small requests by more than a quarter of a second, against
-// refusals without need, and against notices that take the link from requests.
+// One of a zone's 14 routers receives a third of its callers, and the prompts that it forwards
+// need 1.6 times the rate of its link. Guards against a queue that delays control traffic and
+// small requests by more than a quarter of a second, against unnecessary refusals, and against
+// notices that use bandwidth which requests need.
 func TestHotRouterKeepsItsLinkShort(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, r := shaper.New(rate), rand.New(rand.NewPCG(1, 1))
@@ -84,7 +84,7 @@
 	t.Logf("refused %d of %d large, %d of %d small; worst delay %v; %d notices", refusedLarge, large, refusedSmall, small, worst, notices)
 }
 
-// Guards against refusals at a router with a usual load.
+// Guards against refusals at a router with ordinary load.
 func TestUsualLoadIsNotRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, r := shaper.New(rate), rand.New(rand.NewPCG(2, 1))
--- a/shaper/shedder.go
+++ b/shaper/shedder.go
@@ -3,53 +3,53 @@
 import "time"
 
 const (
-	// shedUtilization of its link makes a router move callers away, if that is at least
+	// A router sheds callers if its link's utilization is at least shedUtilization and at least
 	// shedRatio times the mean of its zone.
 	shedUtilization = 0.75
 	shedRatio       = 1.5
-	// shedDelay is how long the utilization must last.
+	// shedDelay is how long the utilization must stay that high.
 	shedDelay = 200 * time.Millisecond
-	// closeDelay after it has stopped being ready, a router closes connections: by then the
-	// platform sends new ones elsewhere.
+	// closeDelay is the time from the end of readiness until a router closes connections. By then
+	// the platform sends new connections elsewhere.
 	closeDelay = 2 * time.Second
-	// minShedding is how long a router is not ready for the first time. Each time that it
-	// sheds again within as long as it last did, it is not ready for twice as long, up to
+	// minShedding is the duration of the first shedding, during which the router is not ready. If
+	// it sheds again within the duration of the previous shedding, the duration doubles, up to
 	// maxShedding.
 	minShedding = 5 * time.Second
 	maxShedding = 40 * time.Second
-	// minServing is the least time between two sheddings.
-	minServing = time.Second
-	// maxSheddingPart bounds the routers of a zone that shed at a time.
-	maxSheddingPart = 0.125
+	// minReadyTime is the minimum time between two sheddings.
+	minReadyTime = time.Second
+	// maxSheddingFraction limits how many routers of a zone shed at the same time.
+	maxSheddingFraction = 0.125
 )
 
-// ZoneLoad is the load of the routers of an availability zone.
+// ZoneLoad describes the load of the routers of an availability zone.
 type ZoneLoad struct {
 	// Mean is the mean utilization of their links.
 	Mean float64
-	// Routers is their number, Shedding that of those that shed callers.
+	// Routers is the number of routers, and Shedding the number of those that shed callers.
 	Routers, Shedding int
 }
 
-// Shedder moves callers away from a router whose link is much busier than those of its zone:
-// the platform spreads callers over routers by a hash, and open connections stay where they
-// are. The router stops being ready, closes connections once new ones go elsewhere, and is
-// ready again after a time that grows while its callers overload it whenever it is. It is not
-// safe for concurrent use.
+// Shedder moves callers away from a router whose link is much busier than the others in its zone.
+// The platform distributes callers over routers by a hash, and open connections stay where they
+// are. The router stops being ready, closes connections once new ones go elsewhere, and becomes
+// ready again after a time that grows if its callers overload it each time. It is not safe for
+// concurrent use.
 type Shedder struct {
 	shedding bool
-	// Duration is of the current or last shedding.
+	// Duration is that of the current or last shedding.
 	duration time.Duration
-	// At is when the state changed, busySince since when the link has been busy; zero if it is
-	// not.
-	at, busySince time.Time
+	// ChangedAt is when the state last changed. BusySince is when the link became busy, or zero if
+	// it is not.
+	changedAt, busySince time.Time
 }
 
-// Step takes in the utilization of the link.
+// Update records the utilization of the link and starts or ends shedding.
 func (s *Shedder) Step(now time.Time, utilization float64, zone ZoneLoad) {
 	if s.shedding {
-		if now.Sub(s.at) >= s.duration {
-			s.shedding, s.at, s.busySince = false, now, time.Time{}
+		if now.Sub(s.changedAt) >= s.duration {
+			s.shedding, s.changedAt, s.busySince = false, now, time.Time{}
 		}
 		return
 	}
@@ -60,19 +60,21 @@
 	if s.busySince.IsZero() {
 		s.busySince = now
 	}
-	full := float64(zone.Shedding) >= max(maxSheddingPart*float64(zone.Routers), 1)
-	if now.Sub(s.busySince) < shedDelay || full || !s.at.IsZero() && now.Sub(s.at) < minServing {
+	full := float64(zone.Shedding) >= max(maxSheddingFraction*float64(zone.Routers), 1)
+	if now.Sub(s.busySince) < shedDelay || full || !s.changedAt.IsZero() && now.Sub(s.changedAt) < minReadyTime {
 		return
 	}
 	next := minShedding
-	if !s.at.IsZero() && now.Sub(s.at) < s.duration {
+	if !s.changedAt.IsZero() && now.Sub(s.changedAt) < s.duration {
 		next = min(2*s.duration, maxShedding)
 	}
-	s.shedding, s.duration, s.at = true, next, now
+	s.shedding, s.duration, s.changedAt = true, next, now
 }
 
-// Shedding reports whether new callers should go to other routers.
+// Shedding reports whether new callers should use other routers.
 func (s *Shedder) Shedding() bool { return s.shedding }
 
 // Closing reports whether connections should be closed.
-func (s *Shedder) Closing(now time.Time) bool { return s.shedding && now.Sub(s.at) >= closeDelay }
+func (s *Shedder) Closing(now time.Time) bool {
+	return s.shedding && now.Sub(s.changedAt) >= closeDelay
+}
--- a/shaper/shedder_test.go
+++ b/shaper/shedder_test.go
@@ -9,34 +9,34 @@
 	"rattanhoist.example/rattanhoist/shaper"
 )
 
-func shed(s *shaper.Shedder, from, to time.Duration, utilization float64, zone shaper.ZoneLoad) {
+func runShedder(s *shaper.Shedder, from, to time.Duration, utilization float64, zone shaper.ZoneLoad) {
 	for at := from; at < to; at += 200 * time.Millisecond {
 		s.Step(start.Add(at), utilization, zone)
 	}
 }
 
-// Pattern: one of 14 routers of a zone gets a third of its callers. Guards against a router
-// that stays overloaded while others idle, and against connections that are closed before
-// the platform sends new ones elsewhere.
+// One of a zone's 14 routers receives a third of its callers. Guards against a router that stays
+// overloaded while others are idle, and against connections that are closed before the platform
+// sends new ones elsewhere.
 func TestHotRouterShedsItsCallers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, zone := &shaper.Shedder{}, shaper.ZoneLoad{Mean: 0.3, Routers: 14}
-	shed(s, 0, time.Second, 0.95, zone)
+	runShedder(s, 0, time.Second, 0.95, zone)
 	g.Expect(s.Shedding()).To(gomega.BeTrue())
 	g.Expect(s.Closing(start.Add(time.Second))).To(gomega.BeFalse())
 	g.Expect(s.Closing(start.Add(4 * time.Second))).To(gomega.BeTrue())
-	shed(s, time.Second, 6*time.Second, 0.1, zone)
+	runShedder(s, time.Second, 6*time.Second, 0.1, zone)
 	g.Expect(s.Shedding()).To(gomega.BeFalse())
-	shed(s, 6*time.Second, 30*time.Second, 0.1, zone)
+	runShedder(s, 6*time.Second, 30*time.Second, 0.1, zone)
 	g.Expect(s.Shedding()).To(gomega.BeFalse())
 }
 
-// Pattern: a router whose callers overload it whenever it is ready. Guards against a router
-// that takes them back every few seconds, and against one that never does.
+// Callers overload a router each time it is ready. Guards against a router that accepts them again
+// every few seconds, and against one that never does.
 func TestRepeatedOverloadShedsForLonger(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, zone := &shaper.Shedder{}, shaper.ZoneLoad{Mean: 0.3, Routers: 14}
-	var spells []time.Duration
+	var durations []time.Duration
 	since := time.Duration(-1)
 	for at := time.Duration(0); at < 3*time.Minute; at += 200 * time.Millisecond {
 		before := s.Shedding()
@@ -45,21 +45,21 @@
 		case s.Shedding() && !before:
 			since = at
 		case !s.Shedding() && before:
-			spells = append(spells, at-since)
+			durations = append(durations, at-since)
 		}
 	}
-	g.Expect(spells).To(gomega.Equal([]time.Duration{5 * time.Second, 10 * time.Second, 20 * time.Second, 40 * time.Second, 40 * time.Second, 40 * time.Second}))
+	g.Expect(durations).To(gomega.Equal([]time.Duration{5 * time.Second, 10 * time.Second, 20 * time.Second, 40 * time.Second, 40 * time.Second, 40 * time.Second}))
 }
 
-// Guards against routers that all stop being ready when the whole zone is busy, when many
-// shed already, or when no keeper tells how busy the others are.
+// Guards against routers that all stop being ready when the whole zone is busy, when many others
+// are shedding, or when no keeper reports the load of the others.
 func TestBusyZoneShedsNobody(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for name, zone := range map[string]shaper.ZoneLoad{
 		"zone busy": {Mean: 0.8, Routers: 14}, "others shed": {Mean: 0.3, Routers: 14, Shedding: 2}, "zone unknown": {},
 	} {
 		s := &shaper.Shedder{}
-		shed(s, 0, 10*time.Second, 0.95, zone)
+		runShedder(s, 0, 10*time.Second, 0.95, zone)
 		g.Expect(s.Shedding()).To(gomega.BeFalse(), name)
 	}
 }
