--- a/publisher/compress.go
+++ b/publisher/compress.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// packLevel takes 4 ms for 400 kB of routes and leaves a tenth of them.
-	packLevel = 5
-	// unpackMost bounds an unpacked document, in bytes.
-	unpackMost = 64 << 20
+	// compressionLevel takes 4 ms for 400 kB of routes and compresses them to a tenth.
+	compressionLevel = 5
+	// maxDecompressedBytes bounds a decompressed document.
+	maxDecompressedBytes = 64 << 20
 )
 
-// Pack makes a document smaller for disks and links: keepers hold many, and a
-// router's link of 10 Mbit/s takes a third of a second for 400 kB.
+// Compress compresses a document for storage and transfer: keepers store many documents,
+// and 400 kB take a third of a second on a router's link of 10 Mbit/s.
 func Pack(content []byte) ([]byte, error) {
 	var b bytes.Buffer
-	w, err := flate.NewWriter(&b, packLevel)
+	w, err := flate.NewWriter(&b, compressionLevel)
 	if err != nil {
 		return nil, merry.Wrap(err)
 	}
@@ -32,10 +32,10 @@
 	return b.Bytes(), nil
 }
 
-// Unpack returns the document as it was before Pack.
+// Decompress returns the document that was passed to Compress.
 func Unpack(packed []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(packed))
-	b, err := io.ReadAll(io.LimitReader(r, unpackMost))
+	b, err := io.ReadAll(io.LimitReader(r, maxDecompressedBytes))
 	if err != nil {
 		return nil, merry.Errorf("%w: not packed properly: %s", ErrInvalid, err.Error())
 	}
--- a/publisher/index.go
+++ b/publisher/index.go
@@ -6,32 +6,34 @@
 	"rattanhoist.example/rattanhoist/localizer"
 )
 
-type place struct{ host, prefix string }
+// routeKey identifies a route by its host and path prefix.
+type routeKey struct{ host, prefix string }
 
-// Index finds the route, the service and the workspace of a request in a
-// document; immutable.
+// Index looks up the route, the service and the workspace of a request in a document;
+// immutable.
 type Index struct {
 	document   *Document
-	routes     map[place]*Route
+	routes     map[routeKey]*Route
 	services   map[string]*Service
 	workspaces map[string]*Workspace
-	// ByRoute and byWorkspace hold where requests may be served, for those that are
-	// bound; both holds what each two of these allow together, by their keys.
-	byRoute     map[*Route]*localizer.Zones
-	byWorkspace map[*Workspace]*localizer.Zones
-	both        map[[2]string]*localizer.Zones
+	// routeZones and workspaceZones hold the zones allowed by routes and workspaces that
+	// are restricted to regions. intersections holds the zones that a route and a
+	// workspace both allow, by the keys of the two zone sets.
+	routeZones     map[*Route]*localizer.Zones
+	workspaceZones map[*Workspace]*localizer.Zones
+	intersections  map[[2]string]*localizer.Zones
 }
 
-// NewIndex returns the index of a checked document; l knows the regions of zones.
+// NewIndex returns the index of a checked document; l maps zones to regions.
 func NewIndex(d *Document, l *localizer.Localizer) *Index {
 	x := &Index{
-		document: d, routes: map[place]*Route{},
+		document: d, routes: map[routeKey]*Route{},
 		services: map[string]*Service{}, workspaces: map[string]*Workspace{},
-		byRoute: map[*Route]*localizer.Zones{}, byWorkspace: map[*Workspace]*localizer.Zones{}, both: map[[2]string]*localizer.Zones{},
+		routeZones: map[*Route]*localizer.Zones{}, workspaceZones: map[*Workspace]*localizer.Zones{}, intersections: map[[2]string]*localizer.Zones{},
 	}
 	for i := range d.Routes {
 		r := &d.Routes[i]
-		x.routes[place{r.Host, r.Prefix}] = r
+		x.routes[routeKey{r.Host, r.Prefix}] = r
 	}
 	for i := range d.Services {
 		x.services[d.Services[i].Name] = &d.Services[i]
@@ -42,44 +44,44 @@
 			x.workspaces[k] = w
 		}
 	}
-	x.locate(l)
+	x.resolveZones(l)
 	return x
 }
 
-// locate resolves the regions that bind routes and workspaces.
-func (x *Index) locate(l *localizer.Localizer) {
+// resolveZones determines the zones that the regions of routes and workspaces allow.
+func (x *Index) resolveZones(l *localizer.Localizer) {
 	for i := range x.document.Routes {
 		r := &x.document.Routes[i]
 		if z := l.Within(r.Regions); z != nil {
-			x.byRoute[r] = z
+			x.routeZones[r] = z
 		}
 	}
 	for i := range x.document.Workspaces {
 		w := &x.document.Workspaces[i]
 		if z := l.Within(w.Regions); z != nil {
-			x.byWorkspace[w] = z
+			x.workspaceZones[w] = z
 		}
 	}
-	for _, a := range x.byRoute {
-		for _, b := range x.byWorkspace {
-			if k := [2]string{a.Key(), b.Key()}; x.both[k] == nil {
-				x.both[k] = a.And(b)
+	for _, a := range x.routeZones {
+		for _, b := range x.workspaceZones {
+			if k := [2]string{a.Key(), b.Key()}; x.intersections[k] == nil {
+				x.intersections[k] = a.And(b)
 			}
 		}
 	}
 }
 
-// Zones returns where a request of a route may be served, nil for everywhere; w is nil
-// where no workspace pays.
+// Zones returns the zones in which a request may be served, nil for all; w is nil if the
+// request belongs to no workspace.
 func (x *Index) Zones(r *Route, w *Workspace) *localizer.Zones {
-	a, b := x.byRoute[r], x.byWorkspace[w]
+	a, b := x.routeZones[r], x.workspaceZones[w]
 	switch {
 	case a == nil:
 		return b
 	case b == nil:
 		return a
 	}
-	return x.both[[2]string{a.Key(), b.Key()}]
+	return x.intersections[[2]string{a.Key(), b.Key()}]
 }
 
 // Document returns the indexed document.
@@ -88,12 +90,12 @@
 // Number returns the document's number.
 func (x *Index) Number() uint64 { return x.document.Number }
 
-// Route returns the route with the longest prefix that begins the path, or
-// nil. It looks up the path cut off after each of its slashes, last one first.
+// Route returns the route with the longest prefix of the path, or nil. It looks up the
+// path truncated after each of its slashes, the last one first.
 func (x *Index) Route(host, path string) *Route {
 	host = Host(host)
 	for i := strings.LastIndexByte(path, '/'); i >= 0; i = strings.LastIndexByte(path[:i], '/') {
-		if r := x.routes[place{host, path[:i+1]}]; r != nil {
+		if r := x.routes[routeKey{host, path[:i+1]}]; r != nil {
 			return r
 		}
 	}
@@ -106,7 +108,7 @@
 // Workspace returns the workspace that holds a key, or nil.
 func (x *Index) Workspace(key string) *Workspace { return x.workspaces[key] }
 
-// Host returns a host as routes name it: in lower case, without a port.
+// NormalizeHost returns a host in the form that routes use: in lower case, without a port.
 func Host(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -1,6 +1,6 @@
-// Package publisher holds a configuration that operators send as one whole
-// document under a number of their own: routes, services, workspaces and
-// limits. Of two documents the one with the higher number is in force.
+// Package publisher defines the configuration that operators publish as one whole document
+// under a number that they choose: routes, services, workspaces and limits. Of two
+// documents the one with the higher number is current.
 package publisher
 
 import (
@@ -9,31 +9,31 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrInvalid says that a document must not come into force.
+// ErrInvalid says that a document is invalid and must not be published.
 var ErrInvalid = merry.Sentinel("invalid configuration")
 
-// RouteKind says what may be repeated.
+// RouteKind says how often a request of a route may run.
 type RouteKind int
 
 // Kinds of routes.
 const (
 	// Idempotent requests may run any number of times.
 	Idempotent RouteKind = iota
-	// Once is a request that may run once at the most.
+	// AtMostOnce requests may run once at most.
 	Once
-	// Stream is answered by a series of events; it may run once at the most
-	// unless it can be resumed.
+	// Stream requests are answered by a series of events. They may run once at most unless
+	// the stream can be resumed.
 	Stream
 )
 
-// Share is a service's part of a route's requests.
+// Share is the share of a route's requests that goes to a service.
 type Share struct {
 	Service string
-	// Weight is against the sum of the route's weights; never negative.
+	// Weight is relative to the sum of the route's weights; never negative.
 	Weight int64
 }
 
-// Route says which service answers the requests below a path.
+// Route assigns the requests below a path to services.
 type Route struct {
 	Name string
 	// Host is in lower case, without a port.
@@ -41,48 +41,50 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   RouteKind
-	// Timeout is the longest that a caller is kept waiting.
+	// Timeout bounds how long a caller waits for the answer.
 	Timeout time.Duration
-	// Objective is the latency within which an answer earns its full worth.
+	// LatencyObjective is the latency within which an answer has its full value.
 	Objective time.Duration
-	// Pause is the longest time between two events of an answer in time.
+	// MaxEventGap is the longest time between two events of a stream that is on time.
 	Pause time.Duration
-	// Priority is the rank of the route; 0 comes first.
+	// Priority ranks the route; 0 is the highest priority.
 	Priority int
 	Shares   []Share
 	// Attempts is how many endpoints a request may be sent to.
 	Attempts int
-	// Public routes ask for no key.
+	// Public routes require no key.
 	Public bool
-	// Affine routes carry prompts whose parts are worth finding again.
+	// PrefixAffinity is set if requests carry prompts whose prefixes endpoints may have
+	// cached.
 	Affine bool
-	// Resumable streams may go on at another endpoint.
+	// Resumable streams may continue at another endpoint.
 	Resumable bool
-	// Regions are the only ones in which requests may be served; empty for any.
+	// Regions are the only regions in which requests may be served; empty for any.
 	Regions []string
 }
 
-// Repeatable reports whether a request may be sent to a second endpoint
-// although the first may have run it.
+// Repeatable reports whether a request may be sent to a second endpoint although the first
+// may have run it.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is how many requests run at once.
+	// Slots is how many requests run concurrently.
 	Slots int
-	// MemoryTokens is the memory that running requests and cached parts share.
+	// MemoryTokens is the memory that running requests and cached prefixes share, in
+	// tokens.
 	MemoryTokens int64
-	// Stride is how many tokens one event holds at the most.
+	// MaxTokensPerEvent bounds the tokens in one event of a stream.
 	Stride int64
-	// TokenBytes is the memory that one token takes, in bytes, and LinkRate how fast
-	// engines pass it on to each other, in bytes a second; 0 where they don't.
+	// TokenBytes is the memory of one token in bytes, and LinkRate the speed at which
+	// engines transfer it to each other, in bytes per second; 0 if they do not.
 	TokenBytes, LinkRate float64
 }
 
-// Carry returns how long engines of a zone take to pass on the memory of one token;
-// 0 where they don't.
+// TransferTimePerToken returns how long the transfer of one token's memory between engines
+// of a zone takes; 0 if engines do not transfer memory.
 func (e *Engine) Carry() time.Duration {
 	if e.TokenBytes <= 0 || e.LinkRate <= 0 {
 		return 0
@@ -90,39 +92,39 @@
 	return time.Duration(e.TokenBytes / e.LinkRate * float64(time.Second))
 }
 
-// Service is a kind of endpoint.
+// Service is a group of interchangeable endpoints.
 type Service struct {
 	Name       string
 	HealthPath string
-	// Connections is how many an endpoint takes from all routers together.
+	// Connections bounds the connections to one endpoint from all routers together.
 	Connections int
 	// Engine is nil for plain services.
 	Engine *Engine
 	Cold   Cold
 }
 
-// Cold says what endpoints of a service bear after their start.
+// ColdStart describes the load that endpoints of a service tolerate after their start.
 type Cold struct {
 	// Duration is how long an endpoint is cold.
 	Duration time.Duration
-	// PerSecond is how many requests it tolerates meanwhile; 0 for any number.
+	// MaxRequestsPerSecond is the rate that a cold endpoint tolerates; 0 for any rate.
 	PerSecond float64
 }
 
-// Workspace pays for its requests.
+// Workspace is a customer account with its keys and its prepaid tokens.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Priority comes before the route's where it is set.
+	// Priority overrides the priority of the route if it is set.
 	Priority *int
-	// Prepaid is the total of tokens; nil for no limit.
+	// Prepaid is the prepaid total in tokens; nil for no limit.
 	Prepaid *int64
-	// Regions are the only ones in which its requests may be served; empty for any.
-	// Those of a route bind beside them.
+	// Regions are the only regions in which its requests may be served; empty for any. The
+	// regions of the route apply as well.
 	Regions []string
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bounds the size and the duration of callers' requests.
 type Limits struct {
 	HeaderBytes   int64
 	BodyBytes     int64
@@ -130,14 +132,14 @@
 	IdleTimeout   time.Duration
 }
 
-// Document is one whole configuration. It is never changed once checked.
+// Document is one whole configuration. It does not change after Check.
 type Document struct {
 	Number     uint64
 	Routes     []Route
 	Services   []Service
 	Workspaces []Workspace
-	// Keyed reports whether the document speaks of workspaces at all: without
-	// them no request needs a key.
+	// RequiresKeys is set if the document defines workspaces at all: without them no
+	// request needs a key.
 	Keyed  bool
 	Limits Limits
 }
@@ -151,21 +153,22 @@
 	for _, s := range d.Services {
 		services[s.Name] = true
 	}
-	places := map[place]bool{}
+	keys := map[routeKey]bool{}
 	for i := range d.Routes {
 		r := &d.Routes[i]
 		if err := r.check(services); err != nil {
 			return err
 		}
-		p := place{r.Host, r.Prefix}
-		if places[p] {
+		p := routeKey{r.Host, r.Prefix}
+		if keys[p] {
 			return merry.Errorf("%w: two routes at %s%s", ErrInvalid, r.Host, r.Prefix)
 		}
-		places[p] = true
+		keys[p] = true
 	}
 	return d.checkKeys()
 }
 
+// check returns ErrInvalid with the first fault of the route.
 func (r *Route) check(services map[string]bool) error {
 	if r.Timeout <= 0 {
 		return merry.Errorf("%w: route %s has no timeout", ErrInvalid, r.Name)
@@ -186,6 +189,7 @@
 	return nil
 }
 
+// checkKeys returns ErrInvalid if two workspaces share a key.
 func (d *Document) checkKeys() error {
 	owner := map[string]string{}
 	for _, w := range d.Workspaces {
--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestLongestPrefixIsFound(t *testing.T) {
+func TestLongestPrefixMatches(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := publisher.NewIndex(document(), localizer.New(nil))
 	for path, want := range map[string]string{"/x/": "short", "/x/1": "short", "/x/y/1/2": "long", "/x/y": "short"} {
@@ -57,8 +57,9 @@
 	gomega.NewWithT(t).Expect(document().Check()).To(gomega.Succeed())
 }
 
-// Guards against requests that leave the regions of their route or their workspace.
-func TestRouteAndWorkspaceBindTogether(t *testing.T) {
+// Guards against requests that are served outside of the regions of their route or
+// workspace.
+func TestRouteAndWorkspaceRegionsIntersect(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := &publisher.Document{
 		Routes:     []publisher.Route{{Name: "free"}, {Name: "north", Regions: []string{"north"}}, {Name: "gone", Regions: []string{"nowhere"}}},
@@ -76,5 +77,5 @@
 	g.Expect([]string{zones(1, 0), zones(1, 1), zones(1, 2)}).To(gomega.Equal([]string{"n1,n2", "n1,n2", ""}))
 	g.Expect(x.Zones(&d.Routes[1], nil).Key()).To(gomega.Equal("n1,n2"))
 	g.Expect(x.Zones(&d.Routes[1], &d.Workspaces[2]).Empty()).To(gomega.BeTrue())
-	g.Expect(x.Zones(&d.Routes[2], &d.Workspaces[0]).Empty()).To(gomega.BeTrue(), "an unknown region is nowhere")
+	g.Expect(x.Zones(&d.Routes[2], &d.Workspaces[0]).Empty()).To(gomega.BeTrue(), "an unknown region has no zones")
 }
