--- a/enroller/enroller.go
+++ b/enroller/enroller.go
@@ -1,5 +1,5 @@
-// Package enroller knows which endpoints there are: from their heartbeats,
-// from what others have heard, and from leaves, which are final.
+// Package enroller keeps the table of known endpoints, built from their heartbeats, from
+// what other processes observed, and from leaves, which are final.
 package enroller
 
 import (
@@ -13,241 +13,244 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// ErrUnusable says that a heartbeat names no endpoint that can be used: some
-// other program wrote it. Compare with errors.Is.
+// ErrInvalidHeartbeat says that a heartbeat does not come from a valid endpoint: another
+// program must have sent it. Compare with errors.Is.
 var ErrUnusable = merry.Sentinel("heartbeat is unusable")
 
-// Beat is one heartbeat of an endpoint.
+// Heartbeat is one heartbeat of an endpoint.
 type Beat struct {
 	Incarnation
-	// Service never changes in an incarnation.
+	// Service never changes during an incarnation.
 	Service string
 	Address string
 	Zone    string
 	Slots   int
 	Leaving bool
-	// Cold is how much longer the endpoint is slow after its start.
+	// ColdRemaining is how much longer the endpoint is slow after its start.
 	Cold time.Duration
 	// Sequence grows with each heartbeat of an incarnation.
 	Sequence uint64
 }
 
+// entry is what the table knows about one endpoint.
 type entry struct {
-	beat  Beat
-	heard time.Time
-	// ColdUntil is when the endpoint is warm, as it said last.
+	heartbeat Beat
+	lastSeen  time.Time
+	// coldUntil is when the endpoint will be warm, according to its latest heartbeat.
 	coldUntil time.Time
-	// Revision is the table's at the last change.
+	// revision is the table's revision at the entry's last change.
 	revision uint64
 }
 
-// departure is the end of an incarnation: it and all that were born before it
-// under the same id are gone for good.
-type departure struct {
-	bornMS int64
-	at     time.Time
+// tombstone records the end of an incarnation. This incarnation and all earlier ones under
+// the same id never return.
+type tombstone struct {
+	bornMS  int64
+	endedAt time.Time
 }
 
-// Table is pure: time comes in as an argument. Not safe for concurrent use.
+// Table holds the known endpoints. It reads no clock: callers pass the time. It is not
+// safe for concurrent use.
 type Table struct {
-	// Silence is after how long an endpoint without heartbeats is forgotten.
-	silence time.Duration
-	// Entries holds by id the newest incarnation: of two under one id, the
-	// older one has ended.
+	// expireAfter is how long an endpoint without heartbeats is remembered.
+	expireAfter time.Duration
+	// entries holds the newest incarnation of each id; all earlier ones have ended.
 	entries map[string]*entry
-	// Left holds by id the last incarnation that ended. It never loses one
-	// that might still be heard.
-	left map[string]departure
-	// ByAddress holds the id of the newest incarnation at each address.
+	// tombstones holds the last ended incarnation of each id. An incarnation whose
+	// heartbeats may still arrive always has its tombstone.
+	tombstones map[string]tombstone
+	// byAddress holds the id of the newest incarnation at each address.
 	byAddress map[string]string
 	revision  uint64
-	// Views holds by availability zone what routers are told.
+	// views holds the view of each availability zone's routers.
 	views map[string]*View
 }
 
-// leftKept is how long a leave is remembered here: far longer than the delay
-// of any heartbeat.
-const leftKept = 10 * time.Minute
+// tombstoneTTL is far longer than the delay of any heartbeat.
+const tombstoneTTL = 10 * time.Minute
 
-// coldSlack is by how much two statements of one cold spell may differ.
-const coldSlack = 500 * time.Millisecond
+// coldTolerance is by how much a later heartbeat may extend the cold phase before the
+// extension counts as a change.
+const coldTolerance = 500 * time.Millisecond
 
 // NewTable returns an empty table.
-func NewTable(silence time.Duration) *Table {
-	return &Table{silence: silence, entries: map[string]*entry{}, left: map[string]departure{}, byAddress: map[string]string{}, views: map[string]*View{}}
+func NewTable(expireAfter time.Duration) *Table {
+	return &Table{expireAfter: expireAfter, entries: map[string]*entry{}, tombstones: map[string]tombstone{}, byAddress: map[string]string{}, views: map[string]*View{}}
 }
 
-// Revision grows with every change but the age of what is known.
+// Revision grows with every change except for the ages of entries.
 func (t *Table) Revision() uint64 { return t.revision }
 
-// Known returns the newest incarnation under an id.
+// Current returns the newest incarnation under an id.
 func (t *Table) Known(id string) (Incarnation, bool) {
 	e := t.entries[id]
 	if e == nil {
 		return Incarnation{}, false
 	}
-	return e.beat.Incarnation, true
+	return e.heartbeat.Incarnation, true
 }
 
 // HasZone reports whether an endpoint of a zone is known.
 func (t *Table) HasZone(zone string) bool {
 	for _, e := range t.entries {
-		if e.beat.Zone == zone {
+		if e.heartbeat.Zone == zone {
 			return true
 		}
 	}
 	return false
 }
 
-// Accepts reports whether a heartbeat agrees with what is known of its id: an
-// incarnation stays with its service, and one that has told its start goes on
-// telling it. Anything else was not written by that endpoint.
-func (t *Table) Accepts(b Beat) bool {
+// Consistent reports whether a heartbeat is consistent with what is known of its id: an
+// incarnation never changes its service, and an endpoint that has reported a start time
+// continues to report one. Any other heartbeat was not sent by that endpoint.
+func (t *Table) Consistent(b Beat) bool {
 	e := t.entries[b.ID]
 	if e == nil {
 		return true
 	}
-	if b.BornMS == 0 && e.beat.BornMS != 0 {
+	if b.BornMS == 0 && e.heartbeat.BornMS != 0 {
 		return false
 	}
-	return b.Incarnation != e.beat.Incarnation || b.Service == e.beat.Service
+	return b.Incarnation != e.heartbeat.Incarnation || b.Service == e.heartbeat.Service
 }
 
-// Hear takes a heartbeat in that was made age ago. It reports whether it told
-// anything but that the endpoint is alive.
+// Observe records a heartbeat that was sent age ago. It reports whether the heartbeat
+// changed anything other than the time at which the endpoint was last alive.
 func (t *Table) Hear(now time.Time, b Beat, age time.Duration) bool {
-	if t.hasLeft(b.Incarnation) || age > t.silence || !t.Accepts(b) {
+	if t.hasEnded(b.Incarnation) || age > t.expireAfter || !t.Consistent(b) {
 		return false
 	}
-	heard := now.Add(-age)
+	lastSeen := now.Add(-age)
 	e := t.entries[b.ID]
 	switch {
 	case e == nil:
-		return t.enter(now, b, heard)
-	case b.BornMS < e.beat.BornMS:
-		// Held up since before the endpoint started again.
+		return t.insert(now, b, lastSeen)
+	case b.BornMS < e.heartbeat.BornMS:
+		// The heartbeat was delayed since before the endpoint restarted.
 		return false
-	case b.BornMS > e.beat.BornMS:
-		t.end(now, e.beat.Incarnation)
-		return t.enter(now, b, heard)
-	case b.Sequence < e.beat.Sequence:
+	case b.BornMS > e.heartbeat.BornMS:
+		t.markEnded(now, e.heartbeat.Incarnation)
+		return t.insert(now, b, lastSeen)
+	case b.Sequence < e.heartbeat.Sequence:
 		return false
 	}
-	if heard.After(e.heard) {
-		e.heard = heard
+	if lastSeen.After(e.lastSeen) {
+		e.lastSeen = lastSeen
 	}
-	// Leaving is final for an incarnation: a heartbeat that was sent before it
-	// and comes late must not bring work back.
-	b.Leaving = b.Leaving || e.beat.Leaving
-	coldUntil := heard.Add(b.Cold)
-	news := b.Leaving != e.beat.Leaving || b.Address != e.beat.Address || b.Slots != e.beat.Slots ||
-		b.Cold > 0 && coldUntil.Sub(e.coldUntil) > coldSlack
-	if b.Sequence > e.beat.Sequence || coldUntil.After(e.coldUntil) {
+	// Leaving is final for an incarnation: a delayed heartbeat from before it must not
+	// make the endpoint available again.
+	b.Leaving = b.Leaving || e.heartbeat.Leaving
+	coldUntil := lastSeen.Add(b.Cold)
+	changed := b.Leaving != e.heartbeat.Leaving || b.Address != e.heartbeat.Address || b.Slots != e.heartbeat.Slots ||
+		b.Cold > 0 && coldUntil.Sub(e.coldUntil) > coldTolerance
+	if b.Sequence > e.heartbeat.Sequence || coldUntil.After(e.coldUntil) {
 		e.coldUntil = coldUntil
 	}
-	e.beat = b
-	if news {
+	e.heartbeat = b
+	if changed {
 		t.revision++
 		e.revision = t.revision
 	}
-	return news
+	return changed
 }
 
-// ColdUntil returns until when endpoints are cold that are now, by incarnation.
+// ColdUntil returns when the endpoints that are cold now will be warm, by incarnation.
 func (t *Table) ColdUntil(now time.Time) map[Incarnation]time.Time {
 	out := map[Incarnation]time.Time{}
 	for _, e := range t.entries {
 		if e.coldUntil.After(now) {
-			out[e.beat.Incarnation] = e.coldUntil
+			out[e.heartbeat.Incarnation] = e.coldUntil
 		}
 	}
 	return out
 }
 
-// enter adds an incarnation. Another one at the same address has ended: a
-// heartbeat of it that was held up must not bring it back, so it is forgotten
-// for good.
-func (t *Table) enter(now time.Time, b Beat, heard time.Time) bool {
+// insert adds an incarnation. Another endpoint at the same address has ended, and gets a
+// tombstone so that a delayed heartbeat does not add it again.
+func (t *Table) insert(now time.Time, b Beat, lastSeen time.Time) bool {
 	if old := t.byAddress[b.Address]; old != "" && old != b.ID {
 		if o := t.entries[old]; o != nil {
-			if o.heard.After(heard) {
+			if o.lastSeen.After(lastSeen) {
 				return false
 			}
-			t.end(now, o.beat.Incarnation)
+			t.markEnded(now, o.heartbeat.Incarnation)
 		}
 	}
 	t.revision++
-	t.entries[b.ID] = &entry{beat: b, heard: heard, coldUntil: heard.Add(b.Cold), revision: t.revision}
+	t.entries[b.ID] = &entry{heartbeat: b, lastSeen: lastSeen, coldUntil: lastSeen.Add(b.Cold), revision: t.revision}
 	t.byAddress[b.Address] = b.ID
 	return true
 }
 
-// Leave takes an incarnation out for good. One without a start stands for the
-// incarnation that is known now: the message that says so names the id alone.
+// Leave removes an incarnation permanently. One without a start time stands for the
+// current incarnation under the id, because the sender of the message knew the id only.
 func (t *Table) Leave(now time.Time, i Incarnation) {
-	if _, known := t.left[i.ID]; known && i.BornMS == 0 || t.hasLeft(i) {
+	if _, known := t.tombstones[i.ID]; known && i.BornMS == 0 || t.hasEnded(i) {
 		return
 	}
 	if k, ok := t.Known(i.ID); ok && i.BornMS == 0 {
 		i = k
 	}
-	t.end(now, i)
+	t.markEnded(now, i)
 	t.revision++
 }
 
-// hasLeft reports whether an incarnation has ended.
-func (t *Table) hasLeft(i Incarnation) bool {
-	d, ok := t.left[i.ID]
+// hasEnded reports whether an incarnation has ended.
+func (t *Table) hasEnded(i Incarnation) bool {
+	d, ok := t.tombstones[i.ID]
 	return ok && i.BornMS <= d.bornMS
 }
 
-// end notes that an incarnation and those before it under its id are gone.
-func (t *Table) end(now time.Time, i Incarnation) {
-	t.left[i.ID] = departure{bornMS: i.BornMS, at: now}
-	if e := t.entries[i.ID]; e != nil && e.beat.BornMS <= i.BornMS {
+// markEnded records that an incarnation and all earlier ones under its id have ended.
+func (t *Table) markEnded(now time.Time, i Incarnation) {
+	t.tombstones[i.ID] = tombstone{bornMS: i.BornMS, endedAt: now}
+	if e := t.entries[i.ID]; e != nil && e.heartbeat.BornMS <= i.BornMS {
 		t.remove(i.ID)
 	}
 }
 
+// remove deletes the entry of an id.
 func (t *Table) remove(id string) {
 	if e := t.entries[id]; e != nil {
 		t.revision++
 		delete(t.entries, id)
-		if t.byAddress[e.beat.Address] == id {
-			delete(t.byAddress, e.beat.Address)
+		if t.byAddress[e.heartbeat.Address] == id {
+			delete(t.byAddress, e.heartbeat.Address)
 		}
 	}
 }
 
-// Forget takes an incarnation out that may be heard again.
+// Forget removes an incarnation; later heartbeats may add it again.
 func (t *Table) Forget(i Incarnation) {
-	if e := t.entries[i.ID]; e != nil && e.beat.Incarnation == i {
+	if e := t.entries[i.ID]; e != nil && e.heartbeat.Incarnation == i {
 		t.remove(i.ID)
 	}
 }
 
-// Alive notes that an incarnation was alive at a moment.
+// MarkAlive records that an incarnation was alive at a point in time.
 func (t *Table) Alive(at time.Time, i Incarnation) {
-	if e := t.entries[i.ID]; e != nil && e.beat.Incarnation == i && at.After(e.heard) {
-		e.heard = at
+	if e := t.entries[i.ID]; e != nil && e.heartbeat.Incarnation == i && at.After(e.lastSeen) {
+		e.lastSeen = at
 	}
 }
 
-// Expire forgets endpoints that fell silent.
+// Expire removes endpoints that have been silent for longer than expireAfter, and old
+// tombstones.
 func (t *Table) Expire(now time.Time) {
 	for id, e := range t.entries {
-		if now.Sub(e.heard) > t.silence {
+		if now.Sub(e.lastSeen) > t.expireAfter {
 			t.remove(id)
 		}
 	}
-	for id, d := range t.left {
-		if now.Sub(d.at) > leftKept {
-			delete(t.left, id)
+	for id, d := range t.tombstones {
+		if now.Sub(d.endedAt) > tombstoneTTL {
+			delete(t.tombstones, id)
 		}
 	}
 }
 
-// SightingsOf returns the endpoints of ids with their ages, by id; unknown ids are left out.
+// SightingsOf returns the endpoints with the given ids and their ages, sorted by id; it
+// omits unknown ids.
 func (t *Table) SightingsOf(now time.Time, ids map[string]bool) []*messenger.Sighting {
 	var out []*messenger.Sighting
 	for _, id := range slices.Sorted(maps.Keys(ids)) {
@@ -258,7 +261,7 @@
 	return out
 }
 
-// Sightings returns all endpoints with their ages, by id.
+// Sightings returns all endpoints with their ages, sorted by id.
 func (t *Table) Sightings(now time.Time) []*messenger.Sighting {
 	var out []*messenger.Sighting
 	for _, id := range slices.Sorted(maps.Keys(t.entries)) {
@@ -268,17 +271,17 @@
 }
 
 func (e *entry) sighting(now time.Time) *messenger.Sighting {
-	b := e.beat
+	b := e.heartbeat
 	return &messenger.Sighting{
 		Id: b.ID, BornMs: b.BornMS, Service: b.Service, Address: b.Address, Zone: b.Zone, Slots: uint32(max(b.Slots, 0)),
-		Leaving: b.Leaving, AgeMs: max(now.Sub(e.heard), 0).Milliseconds(), ColdMs: max(e.coldUntil.Sub(e.heard), 0).Milliseconds(), Sequence: b.Sequence,
+		Leaving: b.Leaving, AgeMs: max(now.Sub(e.lastSeen), 0).Milliseconds(), ColdMs: max(e.coldUntil.Sub(e.lastSeen), 0).Milliseconds(), Sequence: b.Sequence,
 	}
 }
 
-// intern returns a copy of s that equal strings share.
+// intern returns a copy of s that shares its memory with equal strings.
 func intern(s string) string { return unique.Make(s).Value() }
 
-// BeatOf returns the heartbeat that a sighting tells of, and its age.
+// HeartbeatFromSighting returns the heartbeat that a sighting describes, and its age.
 func BeatOf(s *messenger.Sighting) (Beat, time.Duration) {
 	return Beat{
 		Incarnation: Incarnation{ID: s.Id, BornMS: s.BornMs},
--- a/enroller/enroller_test.go
+++ b/enroller/enroller_test.go
@@ -21,9 +21,8 @@
 	return out
 }
 
-// Symptom: an endpoint that has left gets work again.
-// Sequence: it leaves; a heartbeat that was sent before comes late.
-// Cause: a heartbeat taken for news.
+// Guards against an endpoint that gets work after it has left, because a heartbeat that it
+// sent before the leave arrives late.
 func TestLateHeartbeatAfterALeave(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := enroller.NewTable(5 * time.Second)
@@ -42,12 +41,11 @@
 	g.Expect(x.Sightings(start)[0].Leaving).To(gomega.BeTrue())
 }
 
-// Symptom: requests go to an endpoint that crashed, at an address that is
-// another's now.
-// Sequence: an endpoint crashes; its successor registers at the same address;
-// a heartbeat of the first that was held up arrives.
-// Cause: the newest message taken for the newest incarnation.
-func TestHeldUpHeartbeatOfAPredecessor(t *testing.T) {
+// Guards against requests to a crashed endpoint whose address belongs to another one now.
+// An endpoint crashes, its successor registers at the same address, and then a delayed
+// heartbeat of the first arrives: the newest message need not come from the newest
+// incarnation.
+func TestDelayedHeartbeatOfReplacedEndpoint(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := enroller.NewTable(5 * time.Second)
 	x.Hear(start, enroller.Beat{Incarnation: enroller.Incarnation{ID: "old"}, Address: "1", Sequence: 3}, 0)
@@ -56,7 +54,7 @@
 	g.Expect(ids(x, start)).To(gomega.Equal([]string{"new"}))
 }
 
-func TestSilentEndpointsAreForgotten(t *testing.T) {
+func TestSilentEndpointsExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := enroller.NewTable(5 * time.Second)
 	x.Hear(start, enroller.Beat{Incarnation: enroller.Incarnation{ID: "a"}, Address: "1"}, time.Second)
@@ -68,11 +66,13 @@
 	g.Expect(x.Revision()).To(gomega.BeNumerically(">", before))
 }
 
-func life(born int64, sequence uint64) enroller.Beat {
+// heartbeatOf returns a heartbeat of the endpoint "a".
+func heartbeatOf(born int64, sequence uint64) enroller.Beat {
 	return enroller.Beat{Incarnation: enroller.Incarnation{ID: "a", BornMS: born}, Service: "s", Address: "1", Sequence: sequence}
 }
 
-func born(t *enroller.Table) []int64 {
+// startTimes returns the start times of the known endpoints.
+func startTimes(t *enroller.Table) []int64 {
 	var out []int64
 	for _, s := range t.Sightings(start) {
 		out = append(out, s.BornMs)
@@ -80,12 +80,10 @@
 	return out
 }
 
-// Symptom: an endpoint that started again under its id gets no work until its
-// silence has run out, or never.
-// Sequence: it counts its heartbeats anew, from 1; before that it had sent 400, or
-// had left.
-// Cause: the id taken for the incarnation.
-func TestAnEndpointThatStartedAgain(t *testing.T) {
+// Guards against a restarted endpoint that gets no work until its earlier incarnation
+// expires, or never. It crashed or left, and restarts under its id with heartbeat numbers
+// from 1, while the earlier incarnation had reached 400.
+func TestRestartedEndpointIsAdded(t *testing.T) {
 	for name, end := range map[string]func(*enroller.Table){
 		"crashed": func(*enroller.Table) {},
 		"left":    func(x *enroller.Table) { x.Leave(start, enroller.Incarnation{ID: "a", BornMS: 10}) },
@@ -93,73 +91,70 @@
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			x := enroller.NewTable(5 * time.Second)
-			x.Hear(start, life(10, 400), 0)
+			x.Hear(start, heartbeatOf(10, 400), 0)
 			end(x)
 			before := x.Revision()
-			g.Expect(x.Hear(start, life(20, 1), 0)).To(gomega.BeTrue())
-			g.Expect(born(x)).To(gomega.Equal([]int64{20}))
+			g.Expect(x.Hear(start, heartbeatOf(20, 1), 0)).To(gomega.BeTrue())
+			g.Expect(startTimes(x)).To(gomega.Equal([]int64{20}))
 			g.Expect(x.Revision()).To(gomega.BeNumerically(">", before))
 		})
 	}
 }
 
-// Symptom: an endpoint in service is taken out, or an old one put back.
-// Sequence: it has started again; a heartbeat or a leave of its life before,
-// held up on the way, arrives.
-// Cause: what an incarnation said is taken for the next one's word.
-func TestHeldUpWordOfAnEarlierLife(t *testing.T) {
+// Guards against removing an endpoint in service, or restoring an old incarnation, when a
+// delayed heartbeat or leave of an earlier incarnation arrives after a restart.
+func TestDelayedMessagesOfEarlierIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := enroller.NewTable(5 * time.Second)
-	x.Hear(start, life(10, 400), 0)
-	x.Hear(start, life(20, 1), 0)
+	x.Hear(start, heartbeatOf(10, 400), 0)
+	x.Hear(start, heartbeatOf(20, 1), 0)
 	before := x.Revision()
-	leaving := life(10, 401)
+	leaving := heartbeatOf(10, 401)
 	leaving.Leaving = true
 	g.Expect(x.Hear(start, leaving, 0)).To(gomega.BeFalse())
 	g.Expect(x.Revision()).To(gomega.Equal(before))
 	x.Leave(start, enroller.Incarnation{ID: "a", BornMS: 10})
-	g.Expect(born(x)).To(gomega.Equal([]int64{20}))
+	g.Expect(startTimes(x)).To(gomega.Equal([]int64{20}))
 	g.Expect(x.Sightings(start)[0].Leaving).To(gomega.BeFalse())
 	x.Expire(start.Add(6 * time.Second))
-	g.Expect(x.Hear(start.Add(6*time.Second), life(10, 402), 0)).To(gomega.BeFalse(), "not even once the next life was forgotten")
+	g.Expect(x.Hear(start.Add(6*time.Second), heartbeatOf(10, 402), 0)).To(gomega.BeFalse(), "not even after the next incarnation expired")
 	x.Leave(start, enroller.Incarnation{ID: "a", BornMS: 20})
-	g.Expect(x.Hear(start, life(20, 2), 0)).To(gomega.BeFalse())
+	g.Expect(x.Hear(start, heartbeatOf(20, 2), 0)).To(gomega.BeFalse())
 }
 
-// A leave that names the id alone means the incarnation that is known; told
-// again, it does not mean the next one.
-func TestLeaveWithoutAStart(t *testing.T) {
+// A leave without a start time means the current incarnation; when it is repeated, it does
+// not apply to the next one.
+func TestLeaveWithoutStartTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := enroller.NewTable(5 * time.Second)
-	x.Hear(start, life(10, 1), 0)
+	x.Hear(start, heartbeatOf(10, 1), 0)
 	x.Leave(start, enroller.Incarnation{ID: "a"})
-	g.Expect(born(x)).To(gomega.BeEmpty())
-	x.Hear(start, life(20, 1), 0)
+	g.Expect(startTimes(x)).To(gomega.BeEmpty())
+	x.Hear(start, heartbeatOf(20, 1), 0)
 	x.Leave(start, enroller.Incarnation{ID: "a"})
-	g.Expect(born(x)).To(gomega.Equal([]int64{20}))
+	g.Expect(startTimes(x)).To(gomega.Equal([]int64{20}))
 }
 
-// Symptom: requests for a service go to an endpoint that does not serve it.
-// Sequence: some other program sends heartbeats under an id in use, with another
-// service, or without the start that the endpoint tells.
-// Cause: the last heartbeat taken for the endpoint's word.
-func TestForeignHeartbeatUnderAnIDInUse(t *testing.T) {
+// Guards against requests to an endpoint that does not serve them. Another program sends
+// heartbeats under an id in use, but with another service or without the endpoint's start
+// time.
+func TestConflictingHeartbeatUnderKnownID(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := enroller.NewTable(5 * time.Second)
-	x.Hear(start, life(10, 1), 0)
-	other := life(10, 2)
+	x.Hear(start, heartbeatOf(10, 1), 0)
+	other := heartbeatOf(10, 2)
 	other.Service = "t"
-	for _, b := range []enroller.Beat{other, life(0, 3)} {
-		g.Expect(x.Accepts(b)).To(gomega.BeFalse())
+	for _, b := range []enroller.Beat{other, heartbeatOf(0, 3)} {
+		g.Expect(x.Consistent(b)).To(gomega.BeFalse())
 		x.Hear(start, b, 0)
 		g.Expect(x.Sightings(start)).To(gomega.HaveLen(1))
 		g.Expect(x.Sightings(start)[0].Sequence).To(gomega.Equal(uint64(1)))
 	}
 }
 
-// Guards against an endpoint that is taken for warm while it says that it is cold, and
-// against news that nobody is told.
-func TestColdEndpointsAreKnownUntilTheyAreWarm(t *testing.T) {
+// Guards against treating an endpoint as warm while it reports that it is cold, and
+// against changes that are not reported.
+func TestColdEndpointsAreReportedUntilWarm(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	x := enroller.NewTable(10 * time.Second)
@@ -170,15 +165,15 @@
 	x.Hear(now, beat(1, 3*time.Second), time.Second)
 	g.Expect(until(now)).To(gomega.Equal(now.Add(2 * time.Second)))
 	g.Expect(until(now.Add(2 * time.Second))).To(gomega.BeZero())
-	g.Expect(x.Hear(now.Add(time.Second), beat(2, time.Second), 0)).To(gomega.BeFalse(), "the same cold spell")
+	g.Expect(x.Hear(now.Add(time.Second), beat(2, time.Second), 0)).To(gomega.BeFalse(), "the same cold phase")
 	g.Expect(x.Hear(now.Add(2*time.Second), beat(3, 0), 0)).To(gomega.BeFalse())
 	g.Expect(x.Hear(now.Add(3*time.Second), beat(4, 3*time.Second), 0)).To(gomega.BeTrue(), "cold again")
-	g.Expect(x.Hear(now.Add(3*time.Second), beat(3, 0), 0)).To(gomega.BeFalse(), "a heartbeat of before comes late")
+	g.Expect(x.Hear(now.Add(3*time.Second), beat(3, 0), 0)).To(gomega.BeFalse(), "an earlier heartbeat arrives late")
 	g.Expect(until(now.Add(3 * time.Second))).To(gomega.Equal(now.Add(6 * time.Second)))
 }
 
-// Guards against a reader of changes whose copy differs from the table.
-func TestChangesBuildTheSameTable(t *testing.T) {
+// Guards against a reader of the changes whose copy differs from the table.
+func TestChangesReproduceTheTable(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1000, 0)
@@ -218,5 +213,5 @@
 		g.Expect(held).To(gomega.Equal(want))
 	}
 	_, _, known := v.Changes(now, revision+1)
-	g.Expect(known).To(gomega.BeFalse(), "a revision of another table")
+	g.Expect(known).To(gomega.BeFalse(), "an unknown revision")
 }
--- a/enroller/incarnation.go
+++ b/enroller/incarnation.go
@@ -6,17 +6,17 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Incarnation is one life of an endpoint, from its start to its end. An
-// endpoint may start again under the id that it had; it then knows nothing of
-// before, and counts its heartbeats anew.
+// Incarnation identifies one run of an endpoint, from its start to its end. An endpoint
+// may restart under the same id; it then has lost its state and numbers its heartbeats
+// from 1 again.
 type Incarnation struct {
 	ID string
-	// BornMS is when it started, by its own clock, in milliseconds since 1970; 0
-	// where it doesn't tell, and then the id alone names the incarnation.
+	// BornMS is the start time by the endpoint's own clock, in Unix milliseconds; 0 if the
+	// endpoint does not report it, and then the id alone identifies the incarnation.
 	BornMS int64
 }
 
-// String returns the id, with the start where it is known.
+// String returns the id, with the start time if it is known.
 func (i Incarnation) String() string {
 	if i.BornMS == 0 {
 		return i.ID
@@ -24,12 +24,12 @@
 	return i.ID + "@" + strconv.FormatInt(i.BornMS, 10)
 }
 
-// LeaveOf returns the incarnation that a message says has left.
+// IncarnationFromLeave returns the incarnation that a leave message names.
 func LeaveOf(l *messenger.LeaveChange) Incarnation {
 	return Incarnation{ID: l.Endpoint, BornMS: l.BornMs}
 }
 
-// Leave returns the message that says that the incarnation has left.
+// LeaveChange returns the message which says that the incarnation has left.
 func (i Incarnation) Leave() *messenger.LeaveChange {
 	return &messenger.LeaveChange{Endpoint: i.ID, BornMs: i.BornMS}
 }
--- a/enroller/view.go
+++ b/enroller/view.go
@@ -12,49 +12,52 @@
 )
 
 const (
-	// maxRemoteEndpoints bounds the endpoints of one service that routers are told of in
+	// maxRemoteEndpoints bounds the endpoints of one service that routers are sent for
 	// each availability zone other than their own.
 	maxRemoteEndpoints = 64
-	// refreshPause for each endpoint beyond eagerEndpoints is the least time between two
-	// refreshes of a view, so that they take the same part of a processor at any size.
-	refreshPause   = 20 * time.Microsecond
-	eagerEndpoints = 1000
+	// The minimum time between two refreshes of a view is refreshIntervalPerEndpoint for
+	// each endpoint beyond unthrottledEndpoints, so that refreshes take the same share of
+	// a processor at any size.
+	refreshIntervalPerEndpoint = 20 * time.Microsecond
+	unthrottledEndpoints       = 1000
 	// maxViewChanges bounds the changes that a view remembers.
 	maxViewChanges = 4096
 )
 
-// View is the part of a table that the routers of one availability zone are told of: all
-// endpoints of the zone, and a sample of those of each other zone, the same for all routers
-// of the zone. It is not safe for concurrent use.
+// View is the part of a table that is sent to the routers of one availability zone: all
+// endpoints of the zone, and a sample of those of each other zone, the same for all
+// routers of the zone. It is not safe for concurrent use.
 type View struct {
 	table *Table
 	zone  string
-	// Revision grows with every change of what routers are told.
+	// revision grows with every change of the members.
 	revision uint64
-	// Shown is the table's revision as of the last refresh, at refreshedAt.
-	shown       uint64
-	refreshedAt time.Time
-	// Members holds what routers are told of, by id.
+	// tableRevision is the table's revision at the last refresh, and refreshedAt its time.
+	tableRevision uint64
+	refreshedAt   time.Time
+	// members holds the endpoints that routers are sent, by id.
 	members map[string]member
-	// Changes is ordered by revision and complete after changesSince.
+	// changes is ordered by revision and complete after changesSince.
 	changes      []viewChange
 	changesSince uint64
-	// Whole caches all sightings as of wholeAt.
-	whole         []*messenger.Sighting
-	wholeAt       time.Time
-	wholeRevision uint64
+	// cached holds all sightings as of cachedAt.
+	cached         []*messenger.Sighting
+	cachedAt       time.Time
+	cachedRevision uint64
 }
 
+// member is an endpoint of a view as last sent to routers.
 type member struct {
 	incarnation Incarnation
-	// Entry is the revision of the table's entry that routers were told.
-	entry uint64
+	// entryRevision is the revision of the table entry at the last refresh.
+	entryRevision uint64
 }
 
+// viewChange records that a member was added, changed or removed.
 type viewChange struct {
 	revision uint64
-	// Gone is set if the incarnation is no longer a member.
-	gone        bool
+	// removed is set if the incarnation is no longer a member.
+	removed     bool
 	incarnation Incarnation
 }
 
@@ -68,58 +71,61 @@
 	return v
 }
 
-// Revision refreshes the view and returns its revision.
+// Refresh brings the view up to date if the last refresh is long enough ago, and returns
+// the view's revision.
 func (v *View) Revision(now time.Time) uint64 {
-	pause := time.Duration(max(len(v.table.entries)-eagerEndpoints, 0)) * refreshPause
-	if v.shown != v.table.revision && now.Sub(v.refreshedAt) >= pause {
-		v.refresh()
-		v.shown, v.refreshedAt = v.table.revision, now
+	pause := time.Duration(max(len(v.table.entries)-unthrottledEndpoints, 0)) * refreshIntervalPerEndpoint
+	if v.tableRevision != v.table.revision && now.Sub(v.refreshedAt) >= pause {
+		v.updateMembers()
+		v.tableRevision, v.refreshedAt = v.table.revision, now
 	}
 	return v.revision
 }
 
-func (v *View) refresh() {
-	selected := v.table.selectFor(v)
+// updateMembers selects the members again and records the changes.
+func (v *View) updateMembers() {
+	selected := v.table.selectMembers(v)
 	for _, id := range slices.Sorted(maps.Keys(v.members)) {
 		m := v.members[id]
-		if e := selected[id]; e == nil || e.beat.Incarnation != m.incarnation {
+		if e := selected[id]; e == nil || e.heartbeat.Incarnation != m.incarnation {
 			delete(v.members, id)
-			v.note(m.incarnation, true)
+			v.recordChange(m.incarnation, true)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(selected)) {
 		e := selected[id]
-		if m, ok := v.members[id]; !ok || m.entry != e.revision {
-			v.members[id] = member{incarnation: e.beat.Incarnation, entry: e.revision}
-			v.note(e.beat.Incarnation, false)
+		if m, ok := v.members[id]; !ok || m.entryRevision != e.revision {
+			v.members[id] = member{incarnation: e.heartbeat.Incarnation, entryRevision: e.revision}
+			v.recordChange(e.heartbeat.Incarnation, false)
 		}
 	}
 }
 
-func (v *View) note(i Incarnation, gone bool) {
+// recordChange starts a new revision and drops old changes.
+func (v *View) recordChange(i Incarnation, removed bool) {
 	v.revision++
-	v.changes = append(v.changes, viewChange{revision: v.revision, gone: gone, incarnation: i})
+	v.changes = append(v.changes, viewChange{revision: v.revision, removed: removed, incarnation: i})
 	if n := len(v.changes); n > 2*maxViewChanges {
 		v.changesSince = v.changes[n-maxViewChanges-1].revision
 		v.changes = slices.Clone(v.changes[n-maxViewChanges:])
 	}
 }
 
-// group is the endpoints of a service in a zone.
-type group struct{ service, zone string }
+// serviceZone is the key of the endpoints of a service in a zone.
+type serviceZone struct{ service, zone string }
 
-// selectFor returns the endpoints of a view.
-func (t *Table) selectFor(v *View) map[string]*entry {
+// selectMembers returns the endpoints that belong to a view.
+func (t *Table) selectMembers(v *View) map[string]*entry {
 	out := make(map[string]*entry, len(v.members))
-	remote := map[group][]*entry{}
+	remote := map[serviceZone][]*entry{}
 	for id, e := range t.entries {
-		_, told := v.members[id]
-		if v.zone == "" || e.beat.Zone == v.zone || told && e.beat.Leaving {
+		_, isMember := v.members[id]
+		if v.zone == "" || e.heartbeat.Zone == v.zone || isMember && e.heartbeat.Leaving {
 			out[id] = e
 			continue
 		}
-		if !e.beat.Leaving {
-			g := group{e.beat.Service, e.beat.Zone}
+		if !e.heartbeat.Leaving {
+			g := serviceZone{e.heartbeat.Service, e.heartbeat.Zone}
 			remote[g] = append(remote[g], e)
 		}
 	}
@@ -128,14 +134,14 @@
 			list = sample(list, v.zone)
 		}
 		for _, e := range list {
-			out[e.beat.ID] = e
+			out[e.heartbeat.ID] = e
 		}
 	}
 	return out
 }
 
-// sample returns the maxRemoteEndpoints entries with the highest hashes of entry and zone: a
-// change of the list changes few of them.
+// sample returns the maxRemoteEndpoints entries with the highest hashes of zone and id: a
+// change of the list then changes few of them.
 func sample(list []*entry, zone string) []*entry {
 	type ranked struct {
 		entry *entry
@@ -143,10 +149,10 @@
 	}
 	all := make([]ranked, len(list))
 	for i, e := range list {
-		all[i] = ranked{entry: e, hash: xxhash.Sum64String(zone + "\x00" + e.beat.ID)}
+		all[i] = ranked{entry: e, hash: xxhash.Sum64String(zone + "\x00" + e.heartbeat.ID)}
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(a.entry.beat.ID, b.entry.beat.ID))
+		return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(a.entry.heartbeat.ID, b.entry.heartbeat.ID))
 	})
 	out := make([]*entry, maxRemoteEndpoints)
 	for i := range out {
@@ -155,9 +161,9 @@
 	return out
 }
 
-// Changes returns the members that changed after a revision, and those that are none any
-// more. It returns false where that is no longer known.
-func (v *View) Changes(now time.Time, since uint64) (changed []*messenger.Sighting, gone []Incarnation, known bool) {
+// Changes returns the members that changed after a revision, and the incarnations that are
+// no longer members. It returns false if the changes since then are no longer known.
+func (v *View) Changes(now time.Time, since uint64) (changed []*messenger.Sighting, removed []Incarnation, complete bool) {
 	if since < v.changesSince || since > v.revision {
 		return nil, nil, false
 	}
@@ -170,26 +176,26 @@
 		seen[c.incarnation] = true
 		e := v.table.entries[c.incarnation.ID]
 		switch {
-		case c.gone:
-			gone = append(gone, c.incarnation)
-		case e != nil && e.beat.Incarnation == c.incarnation:
+		case c.removed:
+			removed = append(removed, c.incarnation)
+		case e != nil && e.heartbeat.Incarnation == c.incarnation:
 			changed = append(changed, e.sighting(now))
 		}
 	}
-	return changed, gone, true
+	return changed, removed, true
 }
 
-// Sightings returns all members with their ages as of at most maxAge ago; callers must not
-// change them.
+// Sightings returns all members with their ages, which may be out of date by maxAge;
+// callers must not change them.
 func (v *View) Sightings(now time.Time, maxAge time.Duration) []*messenger.Sighting {
-	if v.whole != nil && v.wholeRevision == v.revision && now.Sub(v.wholeAt) <= maxAge {
-		return v.whole
+	if v.cached != nil && v.cachedRevision == v.revision && now.Sub(v.cachedAt) <= maxAge {
+		return v.cached
 	}
-	v.whole, v.wholeAt, v.wholeRevision = make([]*messenger.Sighting, 0, len(v.members)), now, v.revision
+	v.cached, v.cachedAt, v.cachedRevision = make([]*messenger.Sighting, 0, len(v.members)), now, v.revision
 	for _, id := range slices.Sorted(maps.Keys(v.members)) {
 		if e := v.table.entries[id]; e != nil {
-			v.whole = append(v.whole, e.sighting(now))
+			v.cached = append(v.cached, e.sighting(now))
 		}
 	}
-	return v.whole
+	return v.cached
 }
--- a/enroller/view_test.go
+++ b/enroller/view_test.go
@@ -13,7 +13,7 @@
 
 var viewZones = []string{"z0", "z1", "z2", "z3", "z4"}
 
-// announce lets n endpoints of two services in five zones announce themselves.
+// announce records heartbeats of n endpoints of two services in five zones.
 func announce(x *enroller.Table, now time.Time, n int) {
 	for i := range n {
 		service := "model"
@@ -27,9 +27,9 @@
 	}
 }
 
-// Pattern: 5,000, 10,000 and 20,000 endpoints in five zones. Guards against routers that
-// are told of all endpoints: of other zones they hear of a sample that does not grow.
-func TestRoutersHearOfTheirZoneAndASampleOfOthers(t *testing.T) {
+// 5,000, 10,000 and 20,000 endpoints in five zones. Guards against sending routers all
+// endpoints: they must receive a sample of other zones that does not grow with the fleet.
+func TestViewHoldsOwnZoneAndSampleOfOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	remote := map[int]int{}
@@ -51,8 +51,8 @@
 	g.Expect(remote).To(gomega.Equal(map[int]int{5_000: 456, 10_000: 512, 20_000: 512}), "at most 64 of each service in four zones")
 }
 
-// Guards against a sample that changes as a whole when one of its endpoints ends.
-func TestSampleChangesByLittle(t *testing.T) {
+// Guards against a sample that changes completely when one of its endpoints ends.
+func TestSampleIsStableWhenAnEndpointEnds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	x := enroller.NewTable(time.Minute)
@@ -77,10 +77,9 @@
 	g.Expect(changed[0].Zone).To(gomega.Equal("z2"))
 }
 
-// Pattern: endpoints of a large fleet are replaced one after the other, ten a second. Guards
-// against a keeper that spends its processor on refreshing what it tells, and against
-// changes that are told late.
-func TestChangesOfALargeFleetAreToldWithinASecond(t *testing.T) {
+// Ten endpoints of a large fleet are replaced each second. Guards against a keeper that
+// spends its processor time on refreshing the view, and against changes that appear late.
+func TestLargeFleetChangesAppearWithinASecond(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	x := enroller.NewTable(time.Minute)
--- a/steward/registry.go
+++ b/steward/registry.go
@@ -44,7 +44,7 @@
 func (r *registry) observeHeartbeat(now time.Time, b enroller.Beat) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.table.Accepts(b) {
+	if !r.table.Consistent(b) {
 		return false
 	}
 	r.table.Hear(now, b, 0)
