--- a/committer/committer.go
+++ b/committer/committer.go
@@ -1,6 +1,5 @@
-// Package committer runs a replicated log: one goroutine steps the core, syncs
-// the rows of all waiting events in one commit, and only then sends and
-// answers.
+// Package committer runs a replicated log. One goroutine steps the core, syncs the rows of
+// all waiting events in one commit, and only then sends messages and answers.
 package committer
 
 import (
@@ -17,22 +16,22 @@
 )
 
 const (
-	// tickEvery is a fifth of a heartbeat: the error of every timeout.
-	tickEvery = 25 * time.Millisecond
-	// batchMost bounds how many events share one sync.
-	batchMost = 256
-	// queueMost bounds the events that wait while a disk is slow.
-	queueMost = 1024
-	// storeRetry is the pause after a refused write. A full disk refuses
-	// until space is made; the rows of a batch may be written again and again.
-	storeRetry = 200 * time.Millisecond
+	// tickInterval is a fifth of a heartbeat, and the error of every timeout.
+	tickInterval = 25 * time.Millisecond
+	// maxBatch bounds the events that share one sync.
+	maxBatch = 256
+	// maxQueue bounds the events that wait for a slow disk.
+	maxQueue = 1024
+	// writeRetryPause is the pause after a failed write. A full disk fails until space is
+	// freed; the rows of a batch may be written repeatedly.
+	writeRetryPause = 200 * time.Millisecond
 )
 
-// ErrBusy says that too many events wait for the disk; nothing was done.
-// Compare with errors.Is.
+// ErrBusy says that too many events wait for the disk; nothing was done. Compare with
+// errors.Is.
 var ErrBusy = merry.Sentinel("too many events wait for the disk")
 
-// State is what the log has shown to the outside; immutable.
+// State is the state of the log that is visible outside of the loop; immutable.
 type State struct {
 	applied     uint64
 	confirmedAt time.Time
@@ -48,64 +47,65 @@
 // Applied returns the last index whose rows are synced and applied here.
 func (s *State) Applied() uint64 { return s.applied }
 
-// ConfirmedAt returns when a majority last confirmed the copy; zero if never
-// since the start.
+// ConfirmedAt returns when a majority last confirmed this copy; zero if none has since the
+// start.
 func (s *State) ConfirmedAt() time.Time { return s.confirmedAt }
 
 // Leader returns the leader's name, or "".
 func (s *State) Leader() string { return s.leader.Name }
 
-// Leads reports whether this keeper leads and knows all that was committed.
+// IsLeader reports whether this keeper leads and knows everything that was committed.
 func (s *State) Leads() bool { return s.leads }
 
-// Votes reports whether this disk votes.
+// IsVoter reports whether this keeper votes.
 func (s *State) Votes() bool { return s.voter }
 
 // Founded reports whether the disk belongs to a deployment.
 func (s *State) Founded() bool { return s.deployment != "" }
 
-// Term returns the newest term that is known.
+// Term returns the newest known term.
 func (s *State) Term() uint64 { return s.term }
 
-// Changed is closed once more is applied than here.
+// Changed returns a channel that is closed once further entries are applied.
 func (s *State) Changed() <-chan struct{} { return s.changed }
 
 // Voters returns the committed voters; callers must not change them.
 func (s *State) Voters() []replicator.Member { return s.voters }
 
-// call is one of an event, a request, a look and new peers.
+// call is an input of the loop: exactly one of event, request, inspect and peers is set.
 type call struct {
 	event   replicator.Event
 	request any
-	look    func()
+	inspect func()
 	peers   []string
 	done    chan Outcome
 }
 
-// Options describe a loop.
+// Options configures a loop.
 type Options struct {
 	Core replicator.Options
-	// Store is owned by the loop alone.
+	// Store is used by the loop only.
 	Store Store
-	// Send passes a message on; it must not block.
+	// Send sends a message; it must not block.
 	Send func(*messenger.LogMessage)
-	// Committed is called in the loop after entries were applied and synced.
+	// OnCommit is called in the loop after entries were applied and synced.
 	Committed func()
-	// Prepare makes the data of a request just before it enters the log, or returns
-	// its answer where it needs no entry, in the loop. Only Ask needs it.
+	// Prepare encodes a request as the data of a log entry, just before it is proposed, or
+	// returns the answer of a request that needs no entry. It is called in the loop. Only
+	// ProposeRequest needs it.
 	Prepare func(request any) (data []byte, answer any, err error)
-	// EndsOnRefusal says that Run ends when the disk refuses a write, for a process
-	// that starts anew from what is there; otherwise it is tried again.
+	// StopOnWriteError makes Run return when a write fails, for a process that restarts
+	// from what is on the disk; otherwise the write is retried.
 	EndsOnRefusal bool
 	Log           *zap.Logger
 }
 
-// Loop runs one keeper's log.
+// Loop runs the log of one keeper.
 type Loop struct {
 	options Options
 	core    *replicator.Core
 	calls   chan call
-	desk    Desk[Outcome]
+	pending PendingCalls[Outcome]
 	state   atomic.Pointer[State]
 	ended   chan struct{}
 }
@@ -113,25 +113,25 @@
 // New restores the log from the store.
 func New(o Options) (*Loop, error) {
 	l := &Loop{
-		options: o, calls: make(chan call, queueMost), ended: make(chan struct{}),
-		desk: NewDesk(func(o Outcome) Outcome { return o }),
+		options: o, calls: make(chan call, maxQueue), ended: make(chan struct{}),
+		pending: NewPendingCalls(func(o Outcome) Outcome { return o }),
 	}
 	l.core = replicator.NewCore(o.Core)
-	actions, err := Restore(l.core, o.Store)
+	actions, err := RestoreCore(l.core, o.Store)
 	if err != nil {
 		return nil, err
 	}
 	l.state.Store(&State{changed: make(chan struct{})})
-	return l, l.carryOut(context.Background(), actions)
+	return l, l.execute(context.Background(), actions)
 }
 
-// State returns what is synced and applied.
+// State returns the state that is synced and applied.
 func (l *Loop) State() *State { return l.state.Load() }
 
 // Run steps the log until ctx ends or the core halts.
 func (l *Loop) Run(ctx context.Context) error {
 	defer close(l.ended)
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		var c call
@@ -142,15 +142,16 @@
 			c.event = replicator.Tick{}
 		case c = <-l.calls:
 		}
-		if err := l.commit(ctx, l.batch(c)); err != nil {
+		if err := l.processBatch(ctx, l.collectBatch(c)); err != nil {
 			return err
 		}
 	}
 }
 
-func (l *Loop) batch(first call) []call {
+// collectBatch returns a call and those queued behind it, up to maxBatch.
+func (l *Loop) collectBatch(first call) []call {
 	out := []call{first}
-	for len(out) < batchMost {
+	for len(out) < maxBatch {
 		select {
 		case c := <-l.calls:
 			out = append(out, c)
@@ -161,24 +162,26 @@
 	return out
 }
 
-func (l *Loop) commit(ctx context.Context, batch []call) error {
+// processBatch steps the core through a batch, executes the resulting actions, and then
+// runs inspections and sends immediate answers.
+func (l *Loop) processBatch(ctx context.Context, batch []call) error {
 	now := time.Now()
 	var actions []replicator.Action
 	answers := make([]*Outcome, len(batch))
 	for i, c := range batch {
 		var e replicator.Event
-		if e, answers[i] = l.eventOf(c); e != nil {
+		if e, answers[i] = l.eventFor(c); e != nil {
 			actions = append(actions, l.core.Step(now, e)...)
 		}
 	}
-	if err := l.carryOut(ctx, actions); err != nil {
+	if err := l.execute(ctx, actions); err != nil {
 		return err
 	}
-	// What is looked at, or answered without an entry of its own, may come from an
-	// entry of this batch: it leaves the process after the rows are synced.
+	// Inspections and immediate answers may depend on an entry of this batch, so they wait
+	// until its rows are synced.
 	for i, c := range batch {
-		if c.look != nil {
-			c.look()
+		if c.inspect != nil {
+			c.inspect()
 		}
 		if answers[i] != nil {
 			c.done <- *answers[i]
@@ -187,14 +190,15 @@
 	return nil
 }
 
-// eventOf returns a call's event for the core, or its answer, or neither.
-func (l *Loop) eventOf(c call) (replicator.Event, *Outcome) {
+// eventFor returns the core event of a call, or its answer if it needs no event, or
+// neither.
+func (l *Loop) eventFor(c call) (replicator.Event, *Outcome) {
 	switch e := c.event.(type) {
 	case replicator.Propose:
-		e.Ticket = l.desk.Wait(c.done)
+		e.Ticket = l.pending.Add(c.done)
 		return e, nil
 	case replicator.Read:
-		return replicator.Read{Ticket: l.desk.Wait(c.done)}, nil
+		return replicator.Read{Ticket: l.pending.Add(c.done)}, nil
 	case nil:
 	default:
 		return e, nil
@@ -202,14 +206,14 @@
 	switch {
 	case c.request != nil:
 		return l.proposal(c)
-	case c.look != nil:
+	case c.inspect != nil:
 		return nil, &Outcome{}
 	}
 	l.core.SetPeers(c.peers)
 	return nil, nil
 }
 
-// proposal returns the event for a request, or its answer where it needs none.
+// proposal returns the event for a request, or its answer if it needs no entry.
 func (l *Loop) proposal(c call) (replicator.Event, *Outcome) {
 	if !l.core.Ready() {
 		return nil, &Outcome{Err: ErrNotLeader}
@@ -218,64 +222,65 @@
 	if err != nil || answer != nil {
 		return nil, &Outcome{Result: answer, Err: err}
 	}
-	return replicator.Propose{Ticket: l.desk.Wait(c.done), Data: data}, nil
+	return replicator.Propose{Ticket: l.pending.Add(c.done), Data: data}, nil
 }
 
-func (l *Loop) carryOut(ctx context.Context, actions []replicator.Action) error {
-	return l.desk.CarryOut(actions, Ports{
-		Sync: func(rows []storer.Row) error { return l.sync(ctx, rows) },
-		Show: l.publish, Send: l.options.Send,
+// execute carries out actions of the core with this loop's store and Send function.
+func (l *Loop) execute(ctx context.Context, actions []replicator.Action) error {
+	return l.pending.Execute(actions, ActionHandlers{
+		Persist:      func(rows []storer.Row) error { return l.persist(ctx, rows) },
+		PublishState: l.publishState, Send: l.options.Send,
 	})
 }
 
-// sync writes the rows until the disk takes them, or ends at a refusal where the
-// options say so. The core is ahead of a disk that refuses, so nothing may leave
-// meanwhile: to the others this keeper is silent, and a leader loses its role. Ending
-// the process instead would only lose what it knows beside the disk.
-func (l *Loop) sync(ctx context.Context, rows []storer.Row) error {
+// persist writes the rows until the disk accepts them, or returns the error of a failed
+// write if StopOnWriteError is set. The core is ahead of a disk that fails, so nothing may
+// be sent meanwhile: to the others this keeper is silent, and a leader loses its role.
+// Ending the process instead would only lose what is in memory but not on the disk.
+func (l *Loop) persist(ctx context.Context, rows []storer.Row) error {
 	if len(rows) == 0 {
 		return nil
 	}
-	for refused := 0; ; refused++ {
+	for failures := 0; ; failures++ {
 		err := l.options.Store.Apply(rows)
 		if err == nil {
-			if refused > 0 {
-				l.options.Log.Info("disk takes writes again", zap.Int("refused", refused))
+			if failures > 0 {
+				l.options.Log.Info("disk takes writes again", zap.Int("refused", failures))
 			}
 			return nil
 		}
 		if l.options.EndsOnRefusal {
 			return err
 		}
-		if refused == 0 {
-			l.options.Log.Warn("disk refuses writes; nothing is acknowledged", zap.Error(err))
+		if failures == 0 {
+			l.options.Log.Warn("disk write failed; retrying, nothing is acknowledged meanwhile", zap.Error(err))
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(storeRetry):
+		case <-time.After(writeRetryPause):
 		}
 	}
 }
 
-// publish shows the state whose rows are synced.
-func (l *Loop) publish() {
+// publishState updates the visible state after its rows are synced.
+func (l *Loop) publishState() {
 	old := l.state.Load()
 	s := &State{
 		applied: l.core.Commit(), confirmedAt: l.core.ConfirmedAt(), leader: l.core.Leader(),
 		leads: l.core.Ready(), voter: l.core.Voter(), deployment: l.core.Deployment(), term: l.core.Term(),
 		changed: old.changed, voters: old.voters,
 	}
-	moved := s.applied != old.applied
-	if moved || old.voters == nil {
+	advanced := s.applied != old.applied
+	if advanced || old.voters == nil {
 		s.voters = l.core.CommittedVoters()
 	}
-	if moved {
+	if advanced {
 		s.changed = make(chan struct{})
 		l.options.Committed()
 	}
 	l.state.Store(s)
-	if moved {
+	if advanced {
 		close(old.changed)
 	}
 	if s.leader != old.leader || s.voter != old.voter || s.deployment != old.deployment || s.leads != old.leads {
@@ -285,7 +290,8 @@
 	}
 }
 
-func (l *Loop) put(c call) error {
+// enqueue passes a call to the loop, or returns ErrBusy if the queue is full.
+func (l *Loop) enqueue(c call) error {
 	select {
 	case l.calls <- c:
 		return nil
@@ -294,10 +300,10 @@
 	}
 }
 
-// do hands an event to the loop and waits for its answer.
-func (l *Loop) do(ctx context.Context, c call) (Outcome, error) {
+// submit passes a call to the loop and waits for its outcome.
+func (l *Loop) submit(ctx context.Context, c call) (Outcome, error) {
 	c.done = make(chan Outcome, 1)
-	if err := l.put(c); err != nil {
+	if err := l.enqueue(c); err != nil {
 		return Outcome{}, err
 	}
 	select {
@@ -306,55 +312,55 @@
 	case <-ctx.Done():
 		return Outcome{}, ctx.Err()
 	case <-l.ended:
-		return Outcome{}, ErrOutcomeLost
+		return Outcome{}, ErrOutcomeUnknown
 	}
 }
 
-// Receive takes a message of another keeper in; it may be dropped.
+// Receive passes a message of another keeper to the log; it may be dropped.
 func (l *Loop) Receive(m *messenger.LogMessage) error {
-	return l.put(call{event: replicator.Receive{Message: m}})
+	return l.enqueue(call{event: replicator.Receive{Message: m}})
 }
 
 // SetPeers replaces the names of the other keepers.
-func (l *Loop) SetPeers(names []string) error { return l.put(call{peers: names}) }
+func (l *Loop) SetPeers(names []string) error { return l.enqueue(call{peers: names}) }
 
-// Propose commits a change and returns what the machine made of it.
+// Propose commits a change and returns the state machine's result.
 func (l *Loop) Propose(ctx context.Context, data []byte) (any, error) {
-	o, err := l.do(ctx, call{event: replicator.Propose{Data: data}})
+	o, err := l.submit(ctx, call{event: replicator.Propose{Data: data}})
 	return o.Result, err
 }
 
-// Ask commits what Options.Prepare makes of a request, and returns what the machine
-// made of that, or the answer that Prepare gave.
+// ProposeRequest commits the entry that Options.Prepare makes of a request and returns the
+// state machine's result, or the answer that Prepare returned without an entry.
 func (l *Loop) Ask(ctx context.Context, request any) (any, error) {
-	o, err := l.do(ctx, call{request: request})
+	o, err := l.submit(ctx, call{request: request})
 	return o.Result, err
 }
 
-// Look calls f between two events, when all that the machine holds is synced. If it
-// returns an error, f may still be called later.
+// Inspect calls f between two events, when the whole state of the machine is synced. If
+// Inspect returns an error, f may still be called later.
 func (l *Loop) Look(ctx context.Context, f func()) error {
-	_, err := l.do(ctx, call{look: f})
+	_, err := l.submit(ctx, call{inspect: f})
 	return err
 }
 
-// Waiting returns how many calls wait for the loop.
+// QueueLength returns how many calls wait for the loop.
 func (l *Loop) Waiting() int { return len(l.calls) }
 
-// Ended is closed once no call will be answered any more.
+// Done returns a channel that is closed once the loop answers no more calls.
 func (l *Loop) Ended() <-chan struct{} { return l.ended }
 
-// Confirm returns an index that covers all that was acknowledged before the
-// call, confirmed by a majority after it.
+// ReadIndex returns an index that covers everything acknowledged before the call. A
+// majority confirms it after the call began.
 func (l *Loop) Confirm(ctx context.Context) (uint64, error) {
-	o, err := l.do(ctx, call{event: replicator.Read{}})
+	o, err := l.submit(ctx, call{event: replicator.Read{}})
 	return o.Index, err
 }
 
-// Reached waits until everything up to an index is applied here.
+// WaitApplied waits until all entries up to an index are applied here.
 func (l *Loop) Reached(ctx context.Context, index uint64) error {
-	return Reached(ctx, func() (uint64, <-chan struct{}) {
+	return WaitApplied(ctx, func() (uint64, <-chan struct{}) {
 		s := l.state.Load()
 		return s.applied, s.changed
-	}, index, l.ended, ErrOutcomeLost)
+	}, index, l.ended, ErrOutcomeUnknown)
 }
--- a/committer/committer_test.go
+++ b/committer/committer_test.go
@@ -17,11 +17,11 @@
 	"rattanhoist.example/rattanhoist/storer"
 )
 
-// disk refuses writes while it is full.
+// disk is a store that refuses writes while it is full.
 type disk struct {
 	mu   sync.Mutex
 	full bool
-	kept map[string][]byte
+	rows map[string][]byte
 }
 
 func (d *disk) Apply(rows []storer.Row) error {
@@ -31,7 +31,7 @@
 		return merry.Errorf("%w: no space", storer.ErrStore)
 	}
 	for _, r := range rows {
-		d.kept[r.Bucket+"/"+r.Key] = r.Value
+		d.rows[r.Bucket+"/"+r.Key] = r.Value
 	}
 	return nil
 }
@@ -47,29 +47,29 @@
 func (d *disk) size() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.kept)
+	return len(d.rows)
 }
 
-type machine struct{ n int }
+// countingMachine is a state machine that counts the applied changes.
+type countingMachine struct{ n int }
 
-func (m *machine) Apply([]byte) any {
+func (m *countingMachine) Apply([]byte) any {
 	m.n++
 	return m.n
 }
 
-func (m *machine) Snapshot() []byte     { return nil }
-func (m *machine) Restore([]byte) error { return nil }
+func (m *countingMachine) Snapshot() []byte     { return nil }
+func (m *countingMachine) Restore([]byte) error { return nil }
 
-// Symptom: a change is acknowledged that no disk holds, or the keeper ends.
-// Sequence: the disk is full while a change is committed; space is made.
-// Cause: an answer that does not wait for the sync, or a process that ends at
-// the first refused write.
+// Guards against acknowledging a change that is on no disk, and against a keeper that ends
+// when a write fails. The disk is full while a change is proposed, and has space again
+// later.
 func TestNothingIsAcknowledgedWhileTheDiskIsFull(t *testing.T) {
 	g := gomega.NewWithT(t)
-	d := &disk{kept: map[string][]byte{}}
+	d := &disk{rows: map[string][]byte{}}
 	l, err := committer.New(committer.Options{
 		Core: replicator.Options{
-			Name: "a", Voters: 1, Timing: replicator.DefaultTiming(), Rand: rand.New(rand.NewPCG(1, 1)), Machine: &machine{},
+			Name: "a", Voters: 1, Timing: replicator.DefaultTiming(), Rand: rand.New(rand.NewPCG(1, 1)), Machine: &countingMachine{},
 		},
 		Store: d, Send: func(*messenger.LogMessage) {}, Committed: func() {}, Log: zap.NewNop(),
 	})
