--- a/courier/cluster_test.go
+++ b/courier/cluster_test.go
@@ -328,7 +328,7 @@
 
 // Guards against a restart of all processes, one of them with an empty disk, that loses an
 // acknowledged evacuation, and against a router that learns of the evacuation only once it
-// awaitServing callers.
+// serves callers.
 func TestEvacuationSurvivesFullRestart(t *testing.T) {
 	f, g := startCluster(t, 65)
 	f.publish(g, 1, document(2, 100_000))
--- a/courier/owner.go
+++ b/courier/owner.go
@@ -111,7 +111,7 @@
 }
 
 // reserveInZone reserves pooled tokens: from what this router holds already, or from a loan
-// ahead the owner in its zone. done is false if this router has to obtain the tokens itself,
+// of the owner in its zone. done is false if this router has to obtain the tokens itself,
 // because it is the owner or because no owner answers.
 func (r *rights) reserveInZone(ctx context.Context, workspace string, tokens int64, scope messenger.RightsScope) (res *reservation, done bool, err error) {
 	p, _, _ := r.purse(workspace)
--- a/courier/rights.go
+++ b/courier/rights.go
@@ -170,7 +170,7 @@
 
 // retryAfter returns when a request without rights should be retried: once the bound has
 // risen, or, if this router holds too few tokens, after the time for which no keeper has
-// answeredSequence already. The past duration of a partition is the best estimate of the remaining
+// answered already. The past duration of a partition is the best estimate of the remaining
 // one. Callers retry once: when they were told to retry after 0.25 s in a partition of 8 s,
 // they failed for good.
 func (r *rights) retryAfter(p *allotter.Purse, tokens int64) time.Duration {
