--- a/keeper/bill_claims.go
+++ b/keeper/bill_claims.go
@@ -14,62 +14,66 @@
 	"rattanhoist.example/rattanhoist/storer"
 )
 
-// errEnough ends a reading early.
-var errEnough = merry.Sentinel("enough rows")
+// errStopIteration ends an iteration over stored rows early.
+var errStopIteration = merry.Sentinel("enough rows")
 
-// claimMost bounds the groups of bills of one round.
-const claimMost = 1024
+// maxClaimRows bounds the unclaimed rows that one round handles.
+const maxClaimRows = 1024
 
-// claimRound asks, for bills made here, whether another zone has billed the
-// same requests. Each request has one zone that keeps its claim, so that the
-// cost of a bill does not grow with the zones.
+// claimRound finds duplicate bills: for requests billed in this zone, it asks
+// whether another zone has billed the same request. A hash of the request key
+// selects the one zone that stores the claim, so the cost of a bill does not
+// grow with the number of zones.
 type claimRound struct {
 	server *budgetServer
 	zones  []string
 	rows   map[string]*messenger.UnclaimedRow
-	// Counting maps request keys to the zone whose bill counts.
-	counting map[string]string
-	// Settled is told to the zones that are asked.
-	settled int64
+	// effectiveZones maps request keys to the zone whose bill counts.
+	effectiveZones map[string]string
+	// settledBeforeMs is sent along with each claim: all bills of this zone
+	// from before that time are settled.
+	settledBeforeMs int64
 }
 
-// claimBills waits until the bills are on two disks: a claim could otherwise
-// outlive its bill, and the other zone would have reversed its own.
+// claimBills runs one round of claims. It first waits until the bills are on
+// two disks: otherwise a claim could outlive its bill, and the other zone
+// would already have reversed its own.
 func (s *budgetServer) claimBills(ctx context.Context) {
-	r := &claimRound{server: s, zones: s.keeper.settings.Zones(), counting: map[string]string{}}
+	r := &claimRound{server: s, zones: s.keeper.settings.Zones(), effectiveZones: map[string]string{}}
 	oldest, unsettled, err := s.settledBefore(ctx)
 	if err != nil {
 		return
 	}
-	r.settled = min(oldest, unsettled)
-	if err := s.keeper.store.View(r.read); err != nil || len(r.rows) == 0 || !s.loop.copied(ctx) {
+	r.settledBeforeMs = min(oldest, unsettled)
+	if err := s.keeper.store.View(r.readRows); err != nil || len(r.rows) == 0 || !s.loop.mirrorUpToDate(ctx) {
 		return
 	}
-	for zone, keys := range r.byOwner() {
-		r.claim(ctx, zone, keys)
+	for zone, keys := range r.keysByOwner() {
+		r.claimAt(ctx, zone, keys)
 	}
-	r.end(ctx)
+	r.markClaimed(ctx)
 }
 
-// read takes the first rows from the disk: a cut may leave more than memory
-// should hold.
-func (r *claimRound) read(v storer.View) error {
+// readRows reads the first maxClaimRows unclaimed rows from the disk: after a
+// network partition there may be more than fit in memory.
+func (r *claimRound) readRows(v storer.View) error {
 	r.rows = map[string]*messenger.UnclaimedRow{}
 	err := v.Each(budgeter.BucketUnclaimed, "", func(key string, value []byte) error {
-		if len(r.rows) >= claimMost {
-			return errEnough
+		if len(r.rows) >= maxClaimRows {
+			return errStopIteration
 		}
 		row := &messenger.UnclaimedRow{}
 		r.rows[key] = row
 		return proto.Unmarshal(value, row)
 	})
-	if errors.Is(err, errEnough) {
+	if errors.Is(err, errStopIteration) {
 		return nil
 	}
 	return err
 }
 
-func (r *claimRound) byOwner() map[string][]string {
+// keysByOwner groups the request keys by the zone that stores their claims.
+func (r *claimRound) keysByOwner() map[string][]string {
 	out := map[string][]string{}
 	for _, row := range r.rows {
 		for _, key := range row.RequestKeys {
@@ -81,23 +85,25 @@
 	return out
 }
 
-func (r *claimRound) claim(ctx context.Context, zone string, keys []string) {
+// claimAt claims the keys at one zone and records whose bill counts. Keys of
+// a failed call are left for the next round.
+func (r *claimRound) claimAt(ctx context.Context, zone string, keys []string) {
 	self := r.server.keeper.self.Zone()
 	if len(r.zones) == 1 {
 		for _, key := range keys {
-			r.counting[key] = self
+			r.effectiveZones[key] = self
 		}
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	m := &messenger.ClaimBillsRequest{Zone: self, SettledBeforeMs: r.settled}
+	m := &messenger.ClaimBillsRequest{Zone: self, SettledBeforeMs: r.settledBeforeMs}
 	for _, key := range keys {
 		m.RequestHashes = append(m.RequestHashes, budgeter.RequestHash(key))
 	}
 	var out *messenger.ClaimBillsReply
 	var err error
-	if p, ok := r.server.keeper.peers.zone(zone); ok {
+	if p, ok := r.server.keeper.peers.keeperOfZone(zone); ok {
 		out, err = p.budget().ClaimBills(ctx, m)
 	} else {
 		out, err = r.server.ClaimBills(ctx, m)
@@ -106,17 +112,17 @@
 		return
 	}
 	for i, key := range keys {
-		r.counting[key] = out.Zones[i]
+		r.effectiveZones[key] = out.Zones[i]
 	}
 }
 
-// end settles the rows all of whose requests are answered.
-func (r *claimRound) end(ctx context.Context) {
+// markClaimed settles the rows of which every request has been answered.
+func (r *claimRound) markClaimed(ctx context.Context) {
 	done := budgeter.BillsClaimed{Counting: map[string][]string{}}
 	for name, row := range r.rows {
 		var zones []string
 		for _, key := range row.RequestKeys {
-			zone, ok := r.counting[key]
+			zone, ok := r.effectiveZones[key]
 			if !ok {
 				break
 			}
--- a/keeper/budget.go
+++ b/keeper/budget.go
@@ -16,49 +16,50 @@
 	"rattanhoist.example/rattanhoist/storer"
 )
 
-// budgetServer serves the budget protocol from the zone's vault.
+// budgetServer serves the budget protocol from the vault of this zone.
 type budgetServer struct {
 	messenger.UnimplementedBudgetKeeperServer
 	keeper *Keeper
 	loop   *vaultLoop
 	sender mirrorSender
-	holder *mirrorHolder
+	copies *copyStore
 	shares *shares
-	// Watch belongs to the goroutine of rounds.
-	watch routerWatch
-	prune *pruning
+	// monitor is used only by the goroutine of runMaintenance.
+	monitor routerMonitor
+	pruner  *pruner
 }
 
 func newBudgetServer(k *Keeper) *budgetServer {
 	sender := newMirrorSender(k.peers)
 	s := &budgetServer{
 		keeper: k, sender: sender, shares: newShares(),
-		loop:   newVaultLoop(k.self.Zone(), k.store, sender, k.log),
-		holder: &mirrorHolder{store: k.store, log: k.log},
-		watch:  routerWatch{heard: map[string]time.Time{}, said: map[string]budgeter.Heard{}},
+		loop:    newVaultLoop(k.self.Zone(), k.store, sender, k.log),
+		copies:  &copyStore{store: k.store, log: k.log},
+		monitor: routerMonitor{lastAnswer: map[string]time.Time{}, reports: map[string]budgeter.Heard{}},
 	}
-	s.prune = newPruning(s, k.settings.Policy().KeepCharges())
+	s.pruner = newPruner(s, k.settings.Policy().KeepCharges())
 	return s
 }
 
 func (s *budgetServer) log() *zap.Logger { return s.keeper.log }
 
-// run opens the vault and serves it; until then calls are answered with
-// errNotYet.
+// run opens the vault and serves it until ctx ends or the store fails. Calls
+// that arrive before the vault is open fail with errNotDurable.
 func (s *budgetServer) run(ctx context.Context) error {
-	if err := s.open(ctx); err != nil {
+	if err := s.openVault(ctx); err != nil {
 		return err
 	}
-	p := &pairing{loop: s.loop, sender: s.sender, store: s.keeper.store, log: s.log()}
+	p := &mirrorSync{loop: s.loop, sender: s.sender, store: s.keeper.store, log: s.log()}
 	go p.run(ctx)
-	go s.rounds(ctx)
-	go s.prove(ctx)
-	go s.place(ctx)
-	go s.gauges(ctx)
+	go s.runMaintenance(ctx)
+	go s.verifyRestored(ctx)
+	go s.runPlacement(ctx)
+	go s.updateGauges(ctx)
 	return s.loop.run(ctx)
 }
 
-// TopUp mints in the zone that the identity names, forwarding to it.
+// TopUp mints tokens in the zone that the top-up id names, and forwards the
+// request if that is another zone.
 func (s *budgetServer) TopUp(ctx context.Context, r *messenger.TopUpRequest) (*messenger.TopUpReply, error) {
 	known, err := s.keeper.config.hasWorkspace(ctx, r.Workspace)
 	if err != nil {
@@ -72,10 +73,10 @@
 		return nil, status.Errorf(codes.InvalidArgument, "top_up_id: %q: want ZONE/UNIQUE", r.TopUpId)
 	}
 	if zone == s.keeper.self.Zone() {
-		s.shares.touch(r.Workspace, time.Now())
-		return answer[*messenger.TopUpReply](s.loop.handle(ctx, budgeter.Mint{Request: r}))
+		s.shares.markActive(r.Workspace, time.Now())
+		return grpcReply[*messenger.TopUpReply](s.loop.handle(ctx, budgeter.Mint{Request: r}))
 	}
-	p, ok := s.keeper.peers.zone(zone)
+	p, ok := s.keeper.peers.keeperOfZone(zone)
 	if !ok {
 		return nil, status.Errorf(codes.InvalidArgument, "top_up_id: %q: no availability zone %q", r.TopUpId, zone)
 	}
@@ -91,84 +92,87 @@
 	return messenger.ServeSpend(s, stream)
 }
 
-// Charge bills requests; the answer means that the bills are synced.
+// Charge bills requests and replies once the bills are synced to disk.
 func (s *budgetServer) Charge(ctx context.Context, r *messenger.ChargeRequest) (*messenger.ChargeReply, error) {
-	return answer[*messenger.ChargeReply](s.loop.handle(ctx, budgeter.Bill{Request: r}))
+	return grpcReply[*messenger.ChargeReply](s.loop.handle(ctx, budgeter.Bill{Request: r}))
 }
 
-// Return takes rights back from a router.
+// Return takes unused rights back from a router.
 func (s *budgetServer) Return(ctx context.Context, r *messenger.ReturnRequest) (*messenger.ReturnReply, error) {
-	return answer[*messenger.ReturnReply](s.loop.handle(ctx, budgeter.Return{Request: r}))
+	return grpcReply[*messenger.ReturnReply](s.loop.handle(ctx, budgeter.Return{Request: r}))
 }
 
-// Witness stores charges for another zone's keeper.
+// Witness stores charges on behalf of another zone's keeper.
 func (s *budgetServer) Witness(ctx context.Context, r *messenger.ChargeRequest) (*messenger.ChargeReply, error) {
-	out, err := answer[*messenger.ChargeReply](s.loop.handle(ctx, budgeter.Witness{Request: r}))
+	out, err := grpcReply[*messenger.ChargeReply](s.loop.handle(ctx, budgeter.Witness{Request: r}))
 	if err == nil {
-		// The router keeps the charge until its own keeper has it twice.
+		// The router must keep the charge until its own keeper has it on two
+		// disks.
 		out.TwoDisks = false
 	}
 	return out, err
 }
 
-// Register admits an incarnation of a router and names its witness.
+// Register admits a new incarnation of a router and returns the keeper that
+// is its witness.
 func (s *budgetServer) Register(ctx context.Context, r *messenger.RegisterRequest) (*messenger.RegisterReply, error) {
-	out, err := answer[*messenger.RegisterReply](s.loop.handle(ctx, budgeter.Register{Request: r}))
+	out, err := grpcReply[*messenger.RegisterReply](s.loop.handle(ctx, budgeter.Register{Request: r}))
 	if err != nil {
 		return nil, err
 	}
-	if p, ok := s.keeper.peers.name(s.keeper.peers.mirror); ok {
+	if p, ok := s.keeper.peers.keeperByName(s.keeper.peers.mirror); ok {
 		out.WitnessName, out.WitnessAddress = p.process.Name(), p.process.RPC()
 	}
 	return out, nil
 }
 
-// Fence refuses a router's incarnations; what they hold returns once the
-// witness refuses them too.
+// Fence rejects further calls of a router's incarnations. Their remaining
+// rights return once the witness rejects them too.
 func (s *budgetServer) Fence(ctx context.Context, r *messenger.FenceRequest) (*messenger.FenceReply, error) {
-	return answer[*messenger.FenceReply](s.loop.handle(ctx, budgeter.Fence{Request: r}))
+	return grpcReply[*messenger.FenceReply](s.loop.handle(ctx, budgeter.Fence{Request: r}))
 }
 
-// FenceWitness refuses a router of another zone.
+// FenceWitness rejects further charges of another zone's router.
 func (s *budgetServer) FenceWitness(ctx context.Context, r *messenger.FenceWitnessRequest) (*messenger.FenceWitnessReply, error) {
-	return answer[*messenger.FenceWitnessReply](s.loop.handle(ctx, budgeter.FenceWitness{Request: r}))
+	return grpcReply[*messenger.FenceWitnessReply](s.loop.handle(ctx, budgeter.FenceWitness{Request: r}))
 }
 
-// HandOver bills charges that a witness has stored.
+// HandOver bills charges that a witness has stored for this zone.
 func (s *budgetServer) HandOver(ctx context.Context, r *messenger.HandOverRequest) (*messenger.HandOverReply, error) {
-	return answer[*messenger.HandOverReply](s.loop.handle(ctx, budgeter.HandOver{Request: r}))
+	return grpcReply[*messenger.HandOverReply](s.loop.handle(ctx, budgeter.HandOver{Request: r}))
 }
 
-// Mark holds another keeper's solo mark. Two keepers that each wait for the
-// other's mark would wait for ever, so one that waits itself holds none.
+// Mark stores another keeper's solo mark. A keeper that is itself waiting for
+// its mark to be stored refuses: two keepers could otherwise wait for each
+// other forever.
 func (s *budgetServer) Mark(ctx context.Context, r *messenger.MarkRequest) (*messenger.MarkReply, error) {
 	if s.loop.currentMode() == budgeter.ModeMarking {
-		return nil, status.Error(codes.Unavailable, errNotYet.Error())
+		return nil, status.Error(codes.Unavailable, errNotDurable.Error())
 	}
-	return answer[*messenger.MarkReply](s.loop.handle(ctx, budgeter.Mark{Request: r}))
+	return grpcReply[*messenger.MarkReply](s.loop.handle(ctx, budgeter.Mark{Request: r}))
 }
 
-// Ask transfers rights to another zone. Where this one has leased them, it
-// recalls what its routers don't use: a budget that lies idle in one zone's
-// slices must not be refused in another.
+// Ask transfers rights to another zone. If routers of this zone hold leases,
+// it first recalls what they don't use: a workspace must not be refused in
+// one zone while its budget is idle in another.
 func (s *budgetServer) Ask(ctx context.Context, r *messenger.AskRequest) (*messenger.AskReply, error) {
-	g := &gathering{server: s, workspace: r.Workspace, want: r.WantTokens}
-	g.recall(ctx, "")
-	return answer[*messenger.AskReply](s.loop.handle(ctx, budgeter.Ask{Request: r}))
+	g := &rightsCollector{server: s, workspace: r.Workspace, want: r.WantTokens}
+	g.recallFromRouters(ctx, "")
+	return grpcReply[*messenger.AskReply](s.loop.handle(ctx, budgeter.Ask{Request: r}))
 }
 
 // ClaimBills records which zone billed a request first.
 func (s *budgetServer) ClaimBills(ctx context.Context, r *messenger.ClaimBillsRequest) (*messenger.ClaimBillsReply, error) {
-	return answer[*messenger.ClaimBillsReply](s.loop.handle(ctx, budgeter.ClaimBills{Request: r}))
+	return grpcReply[*messenger.ClaimBillsReply](s.loop.handle(ctx, budgeter.ClaimBills{Request: r}))
 }
 
-// Exchange answers with this zone's shares of the workspaces that another zone
-// has traffic of.
+// Exchange records another zone's shares and returns this zone's shares of
+// the same workspaces, which have traffic in the other zone.
 func (s *budgetServer) Exchange(ctx context.Context, r *messenger.ExchangeRequest) (*messenger.ExchangeReply, error) {
 	var names []string
 	for _, x := range r.Shares {
 		names = append(names, x.Workspace)
-		s.shares.heard(r.Zone, x, time.Now())
+		s.shares.recordShare(r.Zone, x, time.Now())
 	}
 	out := &messenger.ExchangeReply{VaultIncarnation: s.loop.incarnation.Load()}
 	var err error
@@ -176,20 +180,20 @@
 	return out, err
 }
 
-// Give takes transfers from another zone.
+// Give accepts transfers of rights from another zone.
 func (s *budgetServer) Give(ctx context.Context, r *messenger.GiveRequest) (*messenger.GiveReply, error) {
-	return answer[*messenger.GiveReply](s.loop.handle(ctx, budgeter.Receive{Request: r}))
+	return grpcReply[*messenger.GiveReply](s.loop.handle(ctx, budgeter.Receive{Request: r}))
 }
 
-// Books returns the accounts of a workspace in every zone that answers.
+// Books returns the accounts of a workspace from every zone that answers.
 func (s *budgetServer) Books(ctx context.Context, r *messenger.BookRequest) (*messenger.BookReply, error) {
 	out := &messenger.BookReply{}
 	err := s.loop.read(ctx, func(v *budgeter.Vault) { out.Books = append(out.Books, v.Book(r.Workspace)) })
 	if err != nil || r.Local {
 		return out, err
 	}
-	others := make(chan *messenger.Book, len(s.keeper.peers.list))
-	failed := s.keeper.peers.each(ctx, func(ctx context.Context, p peer) error {
+	others := make(chan *messenger.Book, len(s.keeper.peers.keepers))
+	failed := s.keeper.peers.callKeepers(ctx, func(ctx context.Context, p peer) error {
 		got, err := p.budget().Books(ctx, &messenger.BookRequest{Workspace: r.Workspace, Local: true})
 		if err == nil && len(got.Books) > 0 {
 			others <- got.Books[0]
@@ -200,7 +204,7 @@
 	for b := range others {
 		out.Books = append(out.Books, b)
 	}
-	out.UnreachableZones = zonesOf(failed)
+	out.UnreachableZones = zoneNames(failed)
 	return out, nil
 }
 
@@ -211,10 +215,10 @@
 	if err != nil || r.Local {
 		return out, err
 	}
-	others := make(chan *messenger.ChargesReply, len(s.keeper.peers.list))
+	others := make(chan *messenger.ChargesReply, len(s.keeper.peers.keepers))
 	local := proto.CloneOf(r)
 	local.Local = true
-	failed := s.keeper.peers.each(ctx, func(ctx context.Context, p peer) error {
+	failed := s.keeper.peers.callKeepers(ctx, func(ctx context.Context, p peer) error {
 		got, err := p.budget().Charges(ctx, local)
 		others <- got
 		return err
@@ -224,19 +228,19 @@
 		out.Charges = append(out.Charges, c.GetCharges()...)
 		out.Pruned = append(out.Pruned, c.GetPruned()...)
 	}
-	out.UnreachableZones = zonesOf(failed)
+	out.UnreachableZones = zoneNames(failed)
 	return out, nil
 }
 
-// chargesMost bounds the bills that one zone lists.
-const chargesMost = 10000
+// maxListedCharges bounds the bills that one zone returns.
+const maxListedCharges = 10000
 
-// localCharges lists bills in the order of their request ids, from the disk:
-// they may be many, and memory holds none of them for long.
+// localCharges lists this zone's bills in the order of their request ids. It
+// reads them from the disk, because there may be too many to keep in memory.
 func (s *budgetServer) localCharges(r *messenger.ChargesRequest, out *messenger.ChargesReply) error {
-	most := chargesMost
+	limit := maxListedCharges
 	if r.Most > 0 {
-		most = min(most, int(r.Most))
+		limit = min(limit, int(r.Most))
 	}
 	prefix := rattanhoist.NewRequestKey(r.Workspace, r.RequestId).String()
 	return s.keeper.store.View(func(v storer.View) error {
@@ -244,7 +248,7 @@
 			return err
 		}
 		return v.Each(budgeter.BucketCharges, prefix, func(key string, value []byte) error {
-			if len(out.Charges) >= most || r.RequestId != "" && key != prefix {
+			if len(out.Charges) >= limit || r.RequestId != "" && key != prefix {
 				return nil
 			}
 			c := &messenger.Charge{}
@@ -257,6 +261,7 @@
 	})
 }
 
+// prunedDays adds the daily sums of a workspace's pruned bills.
 func prunedDays(v storer.View, workspace string, out *messenger.ChargesReply) error {
 	return v.Each(budgeter.BucketPruned, workspace+"/", func(_ string, value []byte) error {
 		day := &messenger.PrunedRow{}
@@ -268,7 +273,7 @@
 	})
 }
 
-func zonesOf(peers []peer) []string {
+func zoneNames(peers []peer) []string {
 	var out []string
 	for _, p := range peers {
 		out = append(out, p.process.Zone())
@@ -276,11 +281,12 @@
 	return out
 }
 
-// answer turns a vault's reply into the types and codes of the wire.
-func answer[M proto.Message](m proto.Message, err error) (M, error) {
+// grpcReply converts a vault's reply and error to the message type and gRPC
+// status of the call.
+func grpcReply[M proto.Message](m proto.Message, err error) (M, error) {
 	var none M
 	if err != nil {
-		return none, status.Error(codeOf(err), err.Error())
+		return none, status.Error(grpcCode(err), err.Error())
 	}
 	out, ok := m.(M)
 	if !ok {
@@ -290,7 +296,8 @@
 	return out, nil
 }
 
-func codeOf(err error) codes.Code {
+// grpcCode returns the gRPC status code for an error of the vault.
+func grpcCode(err error) codes.Code {
 	switch {
 	case errors.Is(err, budgeter.ErrAmount), errors.Is(err, budgeter.ErrWrongZone):
 		return codes.InvalidArgument
--- a/keeper/call_queue.go
+++ b/keeper/call_queue.go
@@ -6,32 +6,33 @@
 	"rattanhoist.example/rattanhoist/storer"
 )
 
-// callQueue carries calls to the one goroutine that steps a state machine and
-// syncs its rows. A caller never waits past the end of that goroutine.
+// callQueue passes calls to the one goroutine that steps a state machine and
+// syncs its rows. Callers stop waiting when that goroutine ends.
 type callQueue[C any] struct {
 	calls chan C
-	// Ended is closed once no call will be answered any more.
-	ended chan struct{}
+	// stopped is closed once no further call will be answered.
+	stopped chan struct{}
 }
 
-func newCallQueue[C any](most int) callQueue[C] {
-	return callQueue[C]{calls: make(chan C, most), ended: make(chan struct{})}
+func newCallQueue[C any](capacity int) callQueue[C] {
+	return callQueue[C]{calls: make(chan C, capacity), stopped: make(chan struct{})}
 }
 
-// put hands a call over. It fails with storer.ErrStore after the end.
-func (q callQueue[C]) put(ctx context.Context, c C) error {
+// enqueue adds a call to the queue. It fails with storer.ErrStore once the
+// queue has stopped.
+func (q callQueue[C]) enqueue(ctx context.Context, c C) error {
 	select {
 	case q.calls <- c:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-q.ended:
+	case <-q.stopped:
 		return storer.ErrStore
 	}
 }
 
-// batch returns the first call with those that wait, as many as the queue
-// holds at most, so that they share one sync.
+// batch returns the first call and all that are already queued, up to the
+// queue's capacity, so that they share one sync.
 func (q callQueue[C]) batch(first C) []C {
 	out := []C{first}
 	for len(out) < cap(q.calls) {
@@ -45,7 +46,7 @@
 	return out
 }
 
-// await returns the answer to a call that was put.
+// await waits for the answer to an enqueued call.
 func await[A, C any](ctx context.Context, q callQueue[C], done <-chan A) (A, error) {
 	var none A
 	select {
@@ -53,7 +54,7 @@
 		return a, nil
 	case <-ctx.Done():
 		return none, ctx.Err()
-	case <-q.ended:
+	case <-q.stopped:
 		return none, storer.ErrStore
 	}
 }
--- a/keeper/claims.go
+++ b/keeper/claims.go
@@ -17,27 +17,29 @@
 )
 
 const (
-	// copyAfter is longer than any attempt to claim, also by a clock that
-	// runs at half the speed.
-	copyAfter = 2 * claimer.ClaimTime
-	copyEvery = 500 * time.Millisecond
-	// forgetEvery is how often claims past their horizon are dropped.
-	forgetEvery = time.Minute
-	// rowsPart is how many rows travel in one message.
-	rowsPart = 1000
+	// newDiskWait is how long a keeper with a new disk waits before it copies
+	// the others' claims. It exceeds the duration of any claim attempt, even
+	// if a clock runs at half speed.
+	newDiskWait       = 2 * claimer.ClaimTime
+	copyRetryInterval = 500 * time.Millisecond
+	// expiryInterval is how often claims past their horizon are dropped.
+	expiryInterval = time.Minute
+	// maxRowsPerMessage bounds the rows in one message of Rows.
+	maxRowsPerMessage = 1000
 )
 
 type claimReply struct{ message proto.Message }
 
-// claimCall is one event with the place for its answer, or a read.
+// claimCall is an event with the channel for its reply, or a read of the
+// core.
 type claimCall struct {
 	event claimer.Event
 	read  func(*claimer.Core)
 	done  chan claimReply
 }
 
-// claimServer decides claims: one goroutine steps the core, syncs the rows of
-// every waiting call in one commit, and only then answers.
+// claimServer decides claims. One goroutine steps the core, syncs the rows of
+// all queued calls in one commit, and only then replies.
 type claimServer struct {
 	messenger.UnimplementedClaimKeeperServer
 	callQueue[claimCall]
@@ -46,14 +48,14 @@
 }
 
 func newClaimServer(k *Keeper) (*claimServer, error) {
-	s := &claimServer{keeper: k, core: claimer.NewCore(), callQueue: newCallQueue[claimCall](commitMost)}
+	s := &claimServer{keeper: k, core: claimer.NewCore(), callQueue: newCallQueue[claimCall](maxBatchEvents)}
 	for _, b := range []string{claimer.BucketStore, claimer.BucketClaims} {
 		err := k.store.Each(b, func(key string, value []byte) error { return s.core.Restore(b, key, value) })
 		if err != nil {
 			return nil, err
 		}
 	}
-	if err := s.moveNamed(); err != nil {
+	if err := s.migrateNamedRows(); err != nil {
 		return nil, err
 	}
 	if s.core.Store() != "" {
@@ -63,16 +65,17 @@
 	if err != nil {
 		return nil, err
 	}
-	_, rows := split(s.core.Name(name.String()))
+	_, rows := splitActions(s.core.Name(name.String()))
 	return s, k.store.Apply(rows)
 }
 
-// moveNamed takes over the rows of a version that stored them by name.
-func (s *claimServer) moveNamed() error {
+// migrateNamedRows moves rows that an older version stored by name to their
+// present keys.
+func (s *claimServer) migrateNamedRows() error {
 	var rows []storer.Row
 	err := s.keeper.store.Each(claimer.BucketNamed, func(name string, value []byte) error {
 		actions, err := s.core.Move(name, value)
-		_, moved := split(actions)
+		_, moved := splitActions(actions)
 		rows = append(rows, moved...)
 		return err
 	})
@@ -82,7 +85,8 @@
 	return s.keeper.store.Apply(rows)
 }
 
-func split(actions []claimer.Action) (claimReply, []storer.Row) {
+// splitActions separates the core's reply from the rows to write.
+func splitActions(actions []claimer.Action) (claimReply, []storer.Row) {
 	var reply claimReply
 	var rows []storer.Row
 	for _, a := range actions {
@@ -96,12 +100,12 @@
 	return reply, rows
 }
 
-// run steps the core until ctx ends or the store fails; the memory is then
-// ahead of the disk and the process must not go on.
+// run steps the core until ctx ends or the store fails. After a failed write
+// memory is ahead of the disk, so the process must not continue.
 func (s *claimServer) run(ctx context.Context) error {
-	defer close(s.ended)
-	go s.copyOthers(ctx)
-	forget := time.NewTicker(forgetEvery)
+	defer close(s.stopped)
+	go s.openNewDisk(ctx)
+	forget := time.NewTicker(expiryInterval)
 	defer forget.Stop()
 	for {
 		select {
@@ -119,6 +123,8 @@
 	}
 }
 
+// commit steps the core with a batch of calls, syncs the rows in one write
+// and then replies to all of them.
 func (s *claimServer) commit(batch []claimCall) error {
 	var rows []storer.Row
 	written := map[string][]byte{}
@@ -132,7 +138,7 @@
 		if err != nil {
 			return err
 		}
-		reply, r := split(s.core.Step(time.Now(), event))
+		reply, r := splitActions(s.core.Step(time.Now(), event))
 		replies[i], rows = reply, append(rows, r...)
 		for _, x := range r {
 			written[x.Key] = x.Value
@@ -147,24 +153,25 @@
 	return nil
 }
 
-// withStored gives an event the row that it needs: as written before in the
-// same batch, which is not on disk yet, or from the disk.
+// withStored adds to an event the stored row that it needs. A row written
+// earlier in the same batch is not on disk yet and comes from written.
 func (s *claimServer) withStored(event claimer.Event, written map[string][]byte) (claimer.Event, error) {
 	var err error
 	switch e := event.(type) {
 	case claimer.Claim:
-		e.Stored, err = s.stored(claimer.KeyOf(e.Request.Workspace, e.Request.RequestId), written)
+		e.Stored, err = s.storedRow(claimer.KeyOf(e.Request.Workspace, e.Request.RequestId), written)
 		return e, err
 	case claimer.Settle:
-		e.Stored, err = s.stored(claimer.KeyOf(e.Request.Workspace, e.Request.RequestId), written)
+		e.Stored, err = s.storedRow(claimer.KeyOf(e.Request.Workspace, e.Request.RequestId), written)
 		return e, err
 	}
 	return event, nil
 }
 
-// stored stops the keeper where the disk does not give back what was written:
-// after a restart it decides by what the disk has then.
-func (s *claimServer) stored(k claimer.Key, written map[string][]byte) ([]byte, error) {
+// storedRow returns the current row of a claim. It fails, which stops the
+// keeper, if the disk returns other content than was written: after a restart
+// the keeper decides by what is on the disk then.
+func (s *claimServer) storedRow(k claimer.Key, written map[string][]byte) ([]byte, error) {
 	if !s.core.Knows(k) {
 		return nil, nil
 	}
@@ -181,9 +188,10 @@
 	return value, nil
 }
 
-func (s *claimServer) do(ctx context.Context, c claimCall) (proto.Message, error) {
+// submit enqueues a call and waits for its reply.
+func (s *claimServer) submit(ctx context.Context, c claimCall) (proto.Message, error) {
 	c.done = make(chan claimReply, 1)
-	if err := s.put(ctx, c); err != nil {
+	if err := s.enqueue(ctx, c); err != nil {
 		return nil, err
 	}
 	r, err := await(ctx, s.callQueue, c.done)
@@ -195,25 +203,25 @@
 
 // Claim grants a request to one attempt.
 func (s *claimServer) Claim(ctx context.Context, r *messenger.ClaimRequest) (*messenger.ClaimReply, error) {
-	return answer[*messenger.ClaimReply](s.do(ctx, claimCall{event: claimer.Claim{Request: r}}))
+	return grpcReply[*messenger.ClaimReply](s.submit(ctx, claimCall{event: claimer.Claim{Request: r}}))
 }
 
 // Settle ends or releases a claim.
 func (s *claimServer) Settle(ctx context.Context, r *messenger.SettleRequest) (*messenger.SettleReply, error) {
-	return answer[*messenger.SettleReply](s.do(ctx, claimCall{event: claimer.Settle{Request: r}}))
+	return grpcReply[*messenger.SettleReply](s.submit(ctx, claimCall{event: claimer.Settle{Request: r}}))
 }
 
-// Store names the disk, for tickets.
+// Store returns the name of this keeper's disk, which tickets refer to.
 func (s *claimServer) Store(ctx context.Context, _ *messenger.StoreRequest) (*messenger.StoreReply, error) {
 	var out messenger.StoreReply
-	_, err := s.do(ctx, claimCall{read: func(c *claimer.Core) { out.Store = c.Store() }})
+	_, err := s.submit(ctx, claimCall{read: func(c *claimer.Core) { out.Store = c.Store() }})
 	return &out, err
 }
 
-// Rows sends all rows to a keeper whose disk is new.
+// Rows sends all claims to a keeper whose disk is new.
 func (s *claimServer) Rows(r *messenger.RowsRequest, out messenger.ClaimKeeper_RowsServer) error {
 	head := &messenger.RowsReply{}
-	_, err := s.do(out.Context(), claimCall{read: func(c *claimer.Core) {
+	_, err := s.submit(out.Context(), claimCall{read: func(c *claimer.Core) {
 		head.Fresh, head.Store, head.Founded = !c.IsOpen(), c.Store(), c.Founded(r.Store)
 	}})
 	if err != nil {
@@ -224,7 +232,7 @@
 	}
 	for next, more := "", true; more; more = next != "" {
 		part := &messenger.RowsReply{}
-		if next, err = s.rowsFrom(next, part); err != nil {
+		if next, err = s.readRowsFrom(next, part); err != nil {
 			return err
 		}
 		if err := out.Send(part); err != nil {
@@ -234,64 +242,65 @@
 	return nil
 }
 
-// rowsFrom reads the rows from a key on, as many as go into a part, and returns
-// the key of the next one, "" after the last. Each part is a reading of its own:
-// one held open while a slow keeper takes the rows would hold up the store's
-// commits. Rows that are written meanwhile may be left out: they are of attempts
-// that the new disk could not have voted for before it was lost.
-func (s *claimServer) rowsFrom(first string, part *messenger.RowsReply) (next string, err error) {
+// readRowsFrom reads up to maxRowsPerMessage rows, starting at key first, and
+// returns the key of the following row, or "" after the last. Each part uses
+// its own read transaction: one held open for a slow receiver would block the
+// store's commits. Rows written between two parts may be missed. They belong
+// to attempts that the new disk could not have voted for before it was lost.
+func (s *claimServer) readRowsFrom(first string, part *messenger.RowsReply) (next string, err error) {
 	err = s.keeper.store.View(func(v storer.View) error {
 		return v.From(claimer.BucketClaims, first, func(key string, value []byte) error {
-			if len(part.Rows) >= rowsPart {
+			if len(part.Rows) >= maxRowsPerMessage {
 				next = key
-				return errEnough
+				return errStopIteration
 			}
 			row := &messenger.ClaimRow{}
 			part.Rows = append(part.Rows, row)
 			return proto.Unmarshal(value, row)
 		})
 	})
-	if errors.Is(err, errEnough) {
+	if errors.Is(err, errStopIteration) {
 		err = nil
 	}
 	return next, err
 }
 
-// copyOthers lets a keeper with a new disk decide once it knows what its lost
-// disk may have voted for. Without it a request granted by this keeper and
-// one other could be granted again by this keeper and the third.
-func (s *claimServer) copyOthers(ctx context.Context) {
+// openNewDisk lets a keeper with a new disk decide claims once it has copied
+// what its lost disk may have voted for. Otherwise a request granted by this
+// keeper and a second one could be granted again by this keeper and a third.
+func (s *claimServer) openNewDisk(ctx context.Context) {
 	var store string
 	var open bool
-	_, err := s.do(ctx, claimCall{read: func(c *claimer.Core) { store, open = c.Store(), c.IsOpen() }})
+	_, err := s.submit(ctx, claimCall{read: func(c *claimer.Core) { store, open = c.Store(), c.IsOpen() }})
 	if err != nil || open {
 		return
 	}
-	wait := copyAfter
+	wait := newDiskWait
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(wait):
 		}
-		wait = copyEvery
-		o, ok := s.gatherRows(ctx, store)
+		wait = copyRetryInterval
+		o, ok := s.collectClaimRows(ctx, store)
 		if !ok {
 			continue
 		}
-		if _, err := s.do(ctx, claimCall{event: o}); err == nil {
+		if _, err := s.submit(ctx, claimCall{event: o}); err == nil {
 			s.keeper.log.Info("new disk decides claims", zap.Int("rows_copied", len(o.Rows)))
 			return
 		}
 	}
 }
 
-// gatherRows asks the other keepers and reports whether enough have answered.
-func (s *claimServer) gatherRows(ctx context.Context, store string) (claimer.Open, bool) {
+// collectClaimRows asks the other keepers for their claims and reports
+// whether enough have answered.
+func (s *claimServer) collectClaimRows(ctx context.Context, store string) (claimer.Open, bool) {
 	var o claimer.Open
 	old, founded := 0, false
-	for _, p := range s.keeper.peers.list {
-		head, rows, err := claimRowsOf(ctx, p, store)
+	for _, p := range s.keeper.peers.keepers {
+		head, rows, err := fetchClaimRows(ctx, p, store)
 		switch {
 		case err != nil:
 		case head.Fresh:
@@ -302,19 +311,20 @@
 			o.Rows = append(o.Rows, rows...)
 		}
 	}
-	if pastHorizon(store) {
+	if olderThanHorizon(store) {
 		return claimer.Open{}, true
 	}
-	if len(o.Founders) == len(s.keeper.peers.list) {
+	if len(o.Founders) == len(s.keeper.peers.keepers) {
 		return o, true
 	}
 	o.Founders = nil
-	return o, founded || old >= claimer.OpenAfter(len(s.keeper.peers.list)+1)
+	return o, founded || old >= claimer.OpenAfter(len(s.keeper.peers.keepers)+1)
 }
 
-// pastHorizon reports whether every vote of a lost disk would be forgotten by
-// now anyway; the name of a disk holds the time at which it was new.
-func pastHorizon(store string) bool {
+// olderThanHorizon reports whether a disk is so old that every vote of its
+// lost predecessor would have expired by now. The disk's name holds its
+// creation time.
+func olderThanHorizon(store string) bool {
 	u, err := uuid.Parse(store)
 	if err != nil {
 		return false
@@ -323,8 +333,9 @@
 	return time.Since(time.Unix(sec, ns)) > claimer.Horizon
 }
 
-func claimRowsOf(ctx context.Context, p peer, store string) (*messenger.RowsReply, []*messenger.ClaimRow, error) {
-	ctx, cancel := context.WithTimeout(ctx, copyAfter)
+// fetchClaimRows reads all claims of one keeper.
+func fetchClaimRows(ctx context.Context, p peer, store string) (*messenger.RowsReply, []*messenger.ClaimRow, error) {
+	ctx, cancel := context.WithTimeout(ctx, newDiskWait)
 	defer cancel()
 	in, err := messenger.NewClaimKeeperClient(p.conn).Rows(ctx, &messenger.RowsRequest{Store: store})
 	if err != nil {
--- a/keeper/claims_test.go
+++ b/keeper/claims_test.go
@@ -14,8 +14,9 @@
 	"rattanhoist.example/rattanhoist/storer"
 )
 
-// claimKeeper returns a server that decides, on an empty disk.
-func claimKeeper(t *testing.T) (*claimServer, *storer.Store) {
+// newOpenClaimServer returns a server with an empty disk that already decides
+// claims.
+func newOpenClaimServer(t *testing.T) (*claimServer, *storer.Store) {
 	t.Helper()
 	store := newHolder(t).store
 	s := restartedClaims(t, store)
@@ -30,7 +31,7 @@
 	return s
 }
 
-// decide steps the events in one batch, as calls that come together are.
+// decide steps the events in one batch, as for calls that arrive together.
 func (s *claimServer) decide(t *testing.T, events ...claimer.Event) (out []proto.Message) {
 	t.Helper()
 	var batch []claimCall
@@ -58,15 +59,15 @@
 
 func verdictOf(m proto.Message) messenger.ClaimVerdict { return m.(*messenger.ClaimReply).Verdict }
 
-// TestClaimsOfOneBatch
-// Symptom: a keeper grants a claim that the same commit gives to another
-// attempt, or stops where several calls for one request come together.
-// Sequence: claim, release, claim, a third claim and the second's end in one
-// batch; a fourth claim after it, and another after a restart.
-// Cause it guards against: rows read from the disk that the batch has changed.
+// A keeper must not grant a claim that the same commit gives to another
+// attempt, nor stop when several calls for one request arrive together. Both
+// would happen if it read rows from the disk that the batch has already
+// changed. One batch holds a claim, its release, a second claim, a third, and
+// the end of the second; further claims follow after the batch and after a
+// restart.
 func TestClaimsOfOneBatch(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s, store := claimKeeper(t)
+	s, store := newOpenClaimServer(t)
 	out := s.decide(
 		t, claimEvent("id", 1), settleEvent("id", 1, messenger.ClaimState_CLAIM_STATE_RELEASED),
 		claimEvent("id", 2), claimEvent("id", 3), settleEvent("id", 2, messenger.ClaimState_CLAIM_STATE_DONE),
@@ -83,12 +84,11 @@
 	}
 }
 
-// TestDamagedClaimStopsTheKeeper
-// Symptom: a request runs twice after its row was damaged on the disk.
-// Cause it guards against: deciding by a row that nobody wrote.
+// A keeper that decided by a damaged row could let a request run twice. It
+// must stop when a row on the disk differs from what was written.
 func TestDamagedClaimStopsTheKeeper(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s, store := claimKeeper(t)
+	s, store := newOpenClaimServer(t)
 	s.decide(t, claimEvent("id", 1), claimEvent("other", 1))
 	key := claimer.KeyOf("w", "id").Row()
 	other, err := store.Get(claimer.BucketClaims, claimer.KeyOf("w", "other").Row())
@@ -100,16 +100,15 @@
 	}
 }
 
-// TestAllRowsAreCopied
-// Symptom: a keeper with a new disk grants what its lost disk had granted.
-// Sequence: more rows than one message holds, some stored by an older version
-// under their names, are read in parts.
-// Cause it guards against: rows lost at the seam of two parts or in the move.
+// A keeper with a new disk must not grant again what its lost disk had
+// granted. This guards against rows lost between two parts of a copy, or in
+// the migration of rows that an older version stored by name. There are more
+// rows than fit in one message.
 func TestAllRowsAreCopied(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s, store := claimKeeper(t)
+	s, store := newOpenClaimServer(t)
 	var events []claimer.Event
-	for i := range 2*rowsPart - 1 {
+	for i := range 2*maxRowsPerMessage - 1 {
 		events = append(events, claimEvent(fmt.Sprint(i), 1))
 	}
 	s.decide(t, events...)
@@ -123,16 +122,16 @@
 	parts := 0
 	for next, more := "", true; more; more = next != "" {
 		part := &messenger.RowsReply{}
-		next, err = s.rowsFrom(next, part)
+		next, err = s.readRowsFrom(next, part)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(part.Rows).To(gomega.HaveLen(rowsPart))
+		g.Expect(part.Rows).To(gomega.HaveLen(maxRowsPerMessage))
 		for _, r := range part.Rows {
 			seen[r.RequestId] = true
 		}
 		parts++
 	}
 	g.Expect(parts).To(gomega.Equal(2))
-	g.Expect(seen).To(gomega.HaveLen(2 * rowsPart))
+	g.Expect(seen).To(gomega.HaveLen(2 * maxRowsPerMessage))
 	g.Expect(seen).To(gomega.HaveKey("old"))
 	g.Expect(verdictOf(s.decide(t, claimEvent("old", 2))[0])).To(gomega.Equal(messenger.ClaimVerdict_CLAIM_VERDICT_HELD))
 }
--- a/keeper/configuration.go
+++ b/keeper/configuration.go
@@ -12,8 +12,8 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// unknownAge is the age of a copy that no majority has confirmed since the
-// keeper started.
+// unknownAge is the reported age of a copy that no majority has confirmed
+// since the keeper started.
 const unknownAge = -1
 
 // configurationServer serves the configuration from the replicated log.
@@ -28,9 +28,9 @@
 func newConfigurationServer(k *Keeper) (*configurationServer, error) {
 	s := &configurationServer{keeper: k, outboxes: map[string]*outbox{}}
 	var names []string
-	for _, p := range k.peers.list {
+	for _, p := range k.peers.keepers {
 		names = append(names, p.process.Name())
-		s.outboxes[p.process.Name()] = &outbox{peer: p, messages: make(chan *messenger.LogMessage, outboxMost)}
+		s.outboxes[p.process.Name()] = &outbox{peer: p, messages: make(chan *messenger.LogMessage, maxOutboxMessages)}
 	}
 	var err error
 	s.loop, err = newLogLoop(k.self.Name(), names, k.store, newRand(), k.log, s.send)
@@ -61,23 +61,25 @@
 	return max(time.Since(confirmedAt).Milliseconds(), 0)
 }
 
-// hasWorkspace looks in the local copy, then in a confirmed one: a workspace
-// that was accepted a moment ago must not be refused for a copy that lags.
+// hasWorkspace looks up a workspace in the local copy and, if it is missing
+// there, in a copy that a majority has confirmed: a workspace that was just
+// accepted must not be refused because the local copy lags.
 func (s *configurationServer) hasWorkspace(ctx context.Context, name string) (bool, error) {
 	look := func(b *configurer.Book) bool { return b.HasWorkspace(name) }
 	if has, err := viewBook(ctx, s.loop, look); err != nil || has {
 		return has, err
 	}
 	if err := s.barrier(ctx); err != nil {
-		return false, s.cutOff("the workspace is not known here")
+		return false, s.noMajorityError("the workspace is not known here")
 	}
 	return viewBook(ctx, s.loop, look)
 }
 
-// Read returns the local copy with its age, or one that a majority confirms.
+// Read returns the configuration, either the local copy with its age or, on
+// request, one that a majority has confirmed.
 func (s *configurationServer) Read(ctx context.Context, r *messenger.ReadRequest) (*messenger.ReadReply, error) {
 	if r.Confirmed && s.barrier(ctx) != nil {
-		return nil, s.cutOff("the read can't be confirmed")
+		return nil, s.noMajorityError("the read can't be confirmed")
 	}
 	age := s.ageMS()
 	out, err := viewBook(ctx, s.loop, func(b *configurer.Book) *messenger.ReadReply {
@@ -93,7 +95,7 @@
 	return out, nil
 }
 
-// History returns accepted changes in order, as far back as they are kept.
+// History returns accepted changes in order, for as long as they are kept.
 func (s *configurationServer) History(ctx context.Context, r *messenger.HistoryRequest) (*messenger.HistoryReply, error) {
 	type since struct {
 		changes []*messenger.Change
@@ -120,7 +122,8 @@
 	return out, nil
 }
 
-// members lists the keepers of the settings with the disk that votes for each.
+// members lists the configured keepers and, for those that vote, the disk
+// incarnation that does.
 func (s *configurationServer) members() []*messenger.Member {
 	var out []*messenger.Member
 	for _, p := range s.keeper.settings.Processes(loader.KindKeeper) {
--- a/keeper/spread_process_test.go
+++ b/keeper/configuration_process_test.go
@@ -15,14 +15,14 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// routerVars are the counters of the configuration at a router.
+// routerVars holds a router's configuration counters.
 type routerVars struct {
 	Version int64  `json:"version"`
 	Keeper  string `json:"keeper"`
 }
 
-// served returns the version that a router serves, or -1.
-func served(f *launcher.Fleet, router string) int64 { return varsOf(f, router).Version }
+// servedVersion returns the version that a router serves, or -1 if unknown.
+func servedVersion(f *launcher.Fleet, router string) int64 { return varsOf(f, router).Version }
 
 func varsOf(f *launcher.Fleet, router string) routerVars {
 	none := routerVars{Version: -1}
@@ -45,10 +45,10 @@
 	return v.Configuration
 }
 
-func everywhere(f *launcher.Fleet, version int64) func() bool {
+func servedEverywhere(f *launcher.Fleet, version int64) func() bool {
 	return func() bool {
 		for _, p := range f.Settings().Processes(loader.KindRouter) {
-			if served(f, p.Name()) != version {
+			if servedVersion(f, p.Name()) != version {
 				return false
 			}
 		}
@@ -56,12 +56,12 @@
 	}
 }
 
-// TestCutZoneGoesOn: symptom, a zone that is cut off stops serving when its
-// router restarts, or serves an older configuration than before. Sequence: a
-// zone is cut off, the others accept a change, the zone's keeper and then its
-// router restart, the cut heals. Cause: a commit index that a restart
-// forgets, or a router that waits for a majority that can't be reached.
-func TestCutZoneGoesOn(t *testing.T) {
+// A zone behind a network partition must continue to serve when its router
+// restarts, and not from an older configuration. A commit index that is lost
+// in a restart, or a router that waits for an unreachable majority, would
+// break this. The zone is cut off, the others accept a change, the zone's
+// keeper and then its router restart, and the partition heals.
+func TestPartitionedZoneKeepsServing(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
 	f := launcher.Start(t, launcher.Options{Net: 64})
@@ -71,7 +71,7 @@
 	for _, id := range []string{"one", "two", "three"} {
 		o.accept(id, r)
 	}
-	f.Eventually("all routers serve version 3", everywhere(f, 3))
+	f.Eventually("all routers serve version 3", servedEverywhere(f, 3))
 	f.Cut("osu-hall", "tema-hall")
 	f.Cut("osu-hall", "legon-hall")
 	var won *messenger.ProposeReply
@@ -80,29 +80,29 @@
 		won, err = o.propose("tema-hall-keeper", "four", 3)
 		return err == nil && won.Outcome == messenger.ChangeOutcome_CHANGE_OUTCOME_ACCEPTED
 	})
-	f.Eventually("the rest serves version 4", func() bool { return served(f, "tema-hall-1") == 4 && served(f, "legon-hall-2") == 4 })
-	g.Expect(served(f, "osu-hall-2")).To(gomega.Equal(int64(3)))
+	f.Eventually("the rest serves version 4", func() bool { return servedVersion(f, "tema-hall-1") == 4 && servedVersion(f, "legon-hall-2") == 4 })
+	g.Expect(servedVersion(f, "osu-hall-2")).To(gomega.Equal(int64(3)))
 	f.Kill("osu-hall-keeper")
 	f.Restart("osu-hall-keeper")
-	cutAgain(f)
+	repeatCut(f)
 	f.Kill("osu-hall-1")
 	f.Restart("osu-hall-1")
 	restarted := time.Now()
-	cutAgain(f)
+	repeatCut(f)
 	f.Eventually("the restarted router serves", func() bool { return f.Ready("osu-hall-1") })
 	t.Logf("the router was ready %s after its restart in the cut zone", time.Since(restarted).Round(time.Millisecond))
-	g.Expect(served(f, "osu-hall-1")).To(gomega.Equal(int64(3)))
+	g.Expect(servedVersion(f, "osu-hall-1")).To(gomega.Equal(int64(3)))
 	stale := o.read("osu-hall-keeper", false)
 	g.Expect(stale.Configuration.Version).To(gomega.Equal(uint64(3)))
 	g.Expect(stale.AgeMs).To(gomega.Equal(int64(-1)), "a copy that nobody confirmed since the start has no age")
 	f.Heal("osu-hall", "tema-hall")
 	f.Heal("osu-hall", "legon-hall")
-	f.Eventually("all routers serve version 4", everywhere(f, 4))
+	f.Eventually("all routers serve version 4", servedEverywhere(f, 4))
 }
 
-// cutAgain repeats the cut until a process that has just started has it: its
-// fault port opens some milliseconds after its start.
-func cutAgain(f *launcher.Fleet) {
+// repeatCut repeats the cut until a newly started process applies it: a
+// process opens its fault port some milliseconds after its start.
+func repeatCut(f *launcher.Fleet) {
 	f.Eventually("the cut reaches restarted processes", func() bool {
 		f.Cut("osu-hall", "tema-hall")
 		f.Cut("osu-hall", "legon-hall")
@@ -125,10 +125,10 @@
 	})
 }
 
-// TestRouterLeavesSilentKeeper: symptom, a router stays at an old version
-// while its zone's keeper is frozen. Sequence: freeze the keeper, accept a
-// change at the others, thaw. Cause: a stream that stays open and says
-// nothing, or a router that stays with another zone's keeper for good.
+// A router must not stay at an old version while its zone's keeper is frozen,
+// as it would with a stream that stays open but silent, and must return to
+// that keeper later. The keeper is frozen, the others accept a change, and
+// the keeper resumes.
 func TestRouterLeavesSilentKeeper(t *testing.T) {
 	t.Parallel()
 	f := launcher.Start(t, launcher.Options{Net: 65})
@@ -136,7 +136,7 @@
 	o.leader(keepers...)
 	r := rand.New(rand.NewPCG(1, 5))
 	o.accept("one", r)
-	f.Eventually("all routers serve version 1", everywhere(f, 1))
+	f.Eventually("all routers serve version 1", servedEverywhere(f, 1))
 	home := func() bool { return varsOf(f, "osu-hall-1").Keeper == "osu-hall-keeper" }
 	f.Eventually("the router follows its zone's keeper", home)
 	f.Freeze("osu-hall-keeper")
@@ -144,7 +144,7 @@
 		out, err := o.propose("tema-hall-keeper", "two", 1)
 		return err == nil && out.Outcome == messenger.ChangeOutcome_CHANGE_OUTCOME_ACCEPTED
 	})
-	f.Eventually("all routers serve version 2", everywhere(f, 2))
+	f.Eventually("all routers serve version 2", servedEverywhere(f, 2))
 	f.Thaw("osu-hall-keeper")
 	f.Eventually("the keeper catches up", func() bool { return o.version("osu-hall-keeper") == 2 })
 	f.Eventually("the router comes back to its zone's keeper", home)
--- a/keeper/spread_watch_test.go
+++ b/keeper/configuration_watch_test.go
@@ -13,11 +13,11 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// TestSubscriberFarBehind: symptom, a router that was away for long never
-// catches up, or one whose copy differs keeps it. Sequence: more changes than
-// are kept as deltas, which also takes the log through snapshots; then a
-// subscriber at version 1, one just behind, one with another copy; then a
-// restart from the snapshot.
+// A router that was away for long must catch up, and one whose copy differs
+// must get a new one. There are more changes than are kept as deltas, so that
+// the log goes through snapshots as well. Subscribers start at version 1, one
+// version behind, and with a different copy; then the keeper restarts from
+// the snapshot.
 func TestSubscriberFarBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -32,14 +32,14 @@
 			g.Expect(c.acceptAt(fmt.Sprint("change-", i), i)).To(gomega.Equal(i + 1))
 		}
 		s := &configurationServer{loop: l}
-		far, _, err := s.update(ctx, &subscriber{version: 1})
+		far, _, err := s.update(ctx, &subscriberState{version: 1})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(far.Configuration.GetVersion()).To(gomega.Equal(uint64(changes)))
-		near, _, err := s.update(ctx, &subscriber{version: changes - 2})
+		near, _, err := s.update(ctx, &subscriberState{version: changes - 2})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(near.Configuration).To(gomega.BeNil())
 		g.Expect(near.Changes).To(gomega.HaveLen(2))
-		other, _, err := s.update(ctx, &subscriber{version: changes, digest: near.Digest + 1})
+		other, _, err := s.update(ctx, &subscriberState{version: changes, digest: near.Digest + 1})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(other.Configuration.GetVersion()).To(gomega.Equal(uint64(changes)))
 		cancel()
--- a/keeper/copy_rows.go
+++ b/keeper/copy_rows.go
@@ -10,11 +10,12 @@
 	"rattanhoist.example/rattanhoist/storer"
 )
 
-// rowsOf calls f for all rows of a copy or a vault, in a fixed order.
-type rowsOf func(v storer.View, f func(*messenger.CopyRow) error) error
+// rowIterator calls f for every row of a vault or of a copy, in a fixed
+// order.
+type rowIterator func(v storer.View, f func(*messenger.CopyRow) error) error
 
-// vaultRows are the rows of the own vault.
-func vaultRows(v storer.View, f func(*messenger.CopyRow) error) error {
+// eachVaultRow iterates over the rows of the keeper's own vault.
+func eachVaultRow(v storer.View, f func(*messenger.CopyRow) error) error {
 	for _, b := range budgeter.Buckets {
 		err := v.Each(b, "", func(key string, value []byte) error {
 			return f(&messenger.CopyRow{Bucket: b, Key: key, Value: append([]byte{}, value...)})
@@ -26,10 +27,11 @@
 	return nil
 }
 
-// copiedRows are the rows of a copy that is held for another keeper. Their
-// order differs from vaultRows only where bucket names do, so both are sent
-// in the order of budgeter.Buckets.
-func copiedRows(bucket string) rowsOf {
+// eachCopiedRow returns an iterator over the rows of a copy held for another
+// keeper. It goes through budgeter.Buckets in order, as eachVaultRow does:
+// the keys of a copy start with the bucket name, so their own order could
+// differ.
+func eachCopiedRow(bucket string) rowIterator {
 	return func(v storer.View, f func(*messenger.CopyRow) error) error {
 		for _, b := range budgeter.Buckets {
 			err := v.Each(bucket, b+rowSeparator, func(key string, value []byte) error {
@@ -44,8 +46,9 @@
 	}
 }
 
-// sendRows sends a state and all its rows in parts, the digest in the last.
-func sendRows(v storer.View, stateBucket, stateKey string, rows rowsOf, send func(*messenger.CopyPart) error) error {
+// sendRows sends a copy's state and all its rows in parts. The last part
+// carries the digest of all rows.
+func sendRows(v storer.View, stateBucket, stateKey string, rows rowIterator, send func(*messenger.CopyPart) error) error {
 	state := &messenger.CopyState{}
 	if err := proto.Unmarshal(v.Get(stateBucket, stateKey), state); err != nil {
 		return budgeter.ErrCorrupt
@@ -55,7 +58,7 @@
 	err := rows(v, func(r *messenger.CopyRow) error {
 		digest.Add(r)
 		part.Rows = append(part.Rows, r)
-		if len(part.Rows) < partMost {
+		if len(part.Rows) < maxRowsPerPart {
 			return nil
 		}
 		full := part
@@ -69,9 +72,9 @@
 	return send(part)
 }
 
-// takeRows receives the parts of a whole copy, stores each, and verifies the
-// digest. It returns a nil state where the sender has none.
-func takeRows(receive func() (*messenger.CopyPart, error), store func([]*messenger.CopyRow) error) (*messenger.CopyState, error) {
+// receiveRows receives all parts of a full copy, stores the rows of each and
+// verifies the digest. It returns a nil state if the sender has no copy.
+func receiveRows(receive func() (*messenger.CopyPart, error), store func([]*messenger.CopyRow) error) (*messenger.CopyState, error) {
 	digest := budgeter.NewRowDigest()
 	var state *messenger.CopyState
 	for {
--- a/keeper/mirror_holder.go
+++ b/keeper/copy_store.go
@@ -15,8 +15,8 @@
 	"rattanhoist.example/rattanhoist/storer"
 )
 
-// Buckets of held copies: the state and the current generation of each zone,
-// and the rows of each generation.
+// Buckets and keys of the stored copies: the state and current generation of
+// each zone's copy, and the rows of each generation.
 const (
 	bucketCopies    = "copies"
 	keyGeneration   = "/generation"
@@ -25,20 +25,22 @@
 	otherGeneration = "b"
 )
 
-// mirrorHolder keeps the copies of other keepers' vaults. It writes to the
-// store by itself: a vault that waits for its own mirror must not hold up the
-// copies it takes, or a ring of keepers could wait for itself.
-type mirrorHolder struct {
+// copyStore stores the copies of other keepers' vaults. It writes to the
+// store directly instead of through the vault's loop: a vault that waits for
+// its own mirror must not delay the copies it stores, or a ring of keepers
+// could deadlock.
+type copyStore struct {
 	store *storer.Store
 	log   *zap.Logger
-	// Mu serialises changes of the copies.
+	// mu serializes changes to the copies.
 	mu sync.Mutex
 }
 
 func rowsBucket(zone, generation string) string { return "copy/" + zone + "/" + generation }
 
-// head returns how far the copy of a zone reaches, nil where there is none.
-func (h *mirrorHolder) head(zone string) (*messenger.CopyState, string, error) {
+// readState returns how far the copy of a zone reaches, nil if there is none,
+// and the generation of its rows.
+func (h *copyStore) readState(zone string) (*messenger.CopyState, string, error) {
 	b, err := h.store.Get(bucketCopies, zone)
 	if err != nil || b == nil {
 		return nil, otherGeneration, err
@@ -51,11 +53,12 @@
 	return state, string(generation), err
 }
 
-// take adds one commit to a copy, or only says how far the copy reaches.
-func (h *mirrorHolder) take(r *messenger.CopyRequest) (*messenger.CopyReply, error) {
+// applyCommit adds one commit to a copy. A request without a commit number
+// only returns how far the copy reaches.
+func (h *copyStore) applyCommit(r *messenger.CopyRequest) (*messenger.CopyReply, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	have, generation, err := h.head(r.State.GetZone())
+	have, generation, err := h.readState(r.State.GetZone())
 	if err != nil {
 		return nil, err
 	}
@@ -84,9 +87,9 @@
 	return storer.Row{Bucket: bucketCopies, Key: s.Zone, Value: marshal(s)}
 }
 
-// replace stores a whole copy beside the old one and switches to it at the
-// end, so that a sender which fails midway leaves the old copy whole.
-func (h *mirrorHolder) replace(s grpc.ClientStreamingServer[messenger.CopyPart, messenger.CopyReply]) error {
+// replace stores a full copy next to the old one and switches over at the
+// end, so that the old copy stays intact if the sender fails midway.
+func (h *copyStore) replace(s grpc.ClientStreamingServer[messenger.CopyPart, messenger.CopyReply]) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	first, err := s.Recv()
@@ -97,7 +100,7 @@
 	if zone == "" {
 		return status.Error(codes.InvalidArgument, "state: missing in the first part")
 	}
-	_, old, err := h.head(zone)
+	_, old, err := h.readState(zone)
 	if err != nil {
 		return err
 	}
@@ -108,7 +111,7 @@
 	if err := h.store.Clear(rowsBucket(zone, fresh)); err != nil {
 		return err
 	}
-	state, err := takeRows(replay(first, s.Recv), func(rows []*messenger.CopyRow) error {
+	state, err := receiveRows(replay(first, s.Recv), func(rows []*messenger.CopyRow) error {
 		return h.store.Apply(copyStoreRows(zone, fresh, rows))
 	})
 	if err != nil {
@@ -124,6 +127,7 @@
 	return s.SendAndClose(&messenger.CopyReply{State: state})
 }
 
+// replay returns a receiver that yields first and then the parts from next.
 func replay(first *messenger.CopyPart, next func() (*messenger.CopyPart, error)) func() (*messenger.CopyPart, error) {
 	return func() (*messenger.CopyPart, error) {
 		if first != nil {
@@ -135,11 +139,12 @@
 	}
 }
 
-// fetch sends the copy of a zone, or one part without a state.
-func (h *mirrorHolder) fetch(zone string, send func(*messenger.CopyPart) error) error {
+// sendCopy sends the copy of a zone, or a single part without a state if
+// there is none.
+func (h *copyStore) sendCopy(zone string, send func(*messenger.CopyPart) error) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	state, generation, err := h.head(zone)
+	state, generation, err := h.readState(zone)
 	if err != nil {
 		return err
 	}
@@ -147,25 +152,26 @@
 		return send(&messenger.CopyPart{Last: true})
 	}
 	return h.store.View(func(v storer.View) error {
-		return sendRows(v, bucketCopies, zone, copiedRows(rowsBucket(zone, generation)), send)
+		return sendRows(v, bucketCopies, zone, eachCopiedRow(rowsBucket(zone, generation)), send)
 	})
 }
 
-// Copy takes one commit of another keeper's vault.
+// Copy stores one commit of another keeper's vault.
 func (s *budgetServer) Copy(_ context.Context, r *messenger.CopyRequest) (*messenger.CopyReply, error) {
-	out, err := s.holder.take(r)
+	out, err := s.copies.applyCommit(r)
 	if err == nil {
 		out.MirrorIncarnation = s.loop.incarnation.Load()
 	}
 	return out, err
 }
 
-// Replace takes a whole copy of another keeper's vault.
+// Replace stores a full copy of another keeper's vault.
 func (s *budgetServer) Replace(r grpc.ClientStreamingServer[messenger.CopyPart, messenger.CopyReply]) error {
-	return s.holder.replace(r)
+	return s.copies.replace(r)
 }
 
-// Fetch gives a keeper that lost its disk its copy back.
+// Fetch sends the copy of a zone's vault to its keeper, which has lost its
+// disk.
 func (s *budgetServer) Fetch(r *messenger.FetchRequest, w grpc.ServerStreamingServer[messenger.CopyPart]) error {
-	return s.holder.fetch(r.Zone, w.Send)
+	return s.copies.sendCopy(r.Zone, w.Send)
 }
--- a/keeper/faults_test.go
+++ b/keeper/faults_test.go
@@ -14,15 +14,16 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Symptom: after a keeper's restart its routers' rights are stranded, or the
-// books do not add up. Sequence: requests, kill -9 of the keeper with leases
-// out, a request that the mirror witnesses, restart, requests. Cause: lease rows that forget the last grant.
+// After kill -9 and a restart of a keeper, rights of its routers must not be
+// lost and its accounts must balance. This failed if a lease row lacked the
+// last grant. Leases are out during the kill, and the mirror witnesses one
+// request.
 func TestKilledKeeperKeepsItsLeases(t *testing.T) {
-	f := start(t, 40)
+	f := startFleet(t, 40)
 	f.topUp(zoneA+"/1", 5000)
 	charged := f.mustCall(routerA1) + f.mustCall(routerA2)
 	f.Kill(keeperA)
-	// The mirror keeps the charge until its own keeper is back.
+	// The mirror stores the charge until the router's own keeper is back.
 	charged += f.mustCall(routerA1)
 	f.Restart(keeperA)
 	charged += f.mustCall(routerA1) + f.mustCall(routerA2)
@@ -30,13 +31,13 @@
 	f.g.Expect(f.books().FrozenTokens).To(gomega.BeZero())
 }
 
-// Symptom: a zone's budget is gone with its keeper's disk, or is spent twice.
-// Sequence: requests; the keeper's VM is lost with its disk and its router;
-// the keeper comes back empty; right after the repair the mirror's VM is lost
-// too. Cause: a copy that is behind, or a repair that counts before it is on
-// two disks.
+// The budget of a zone must neither be lost with its keeper's disk nor be
+// spent twice. A copy that lags, or a repair that counts before it is on two
+// disks, would cause either. The keeper's VM is lost with its disk and a
+// router; the keeper returns with an empty disk; right after the repair the
+// mirror's VM is lost too.
 func TestLostDiskIsRestoredFromTheMirror(t *testing.T) {
-	f := start(t, 41)
+	f := startFleet(t, 41)
 	f.topUp(zoneA+"/1", 5000)
 	charged := f.mustCall(routerA1) + f.mustCall(routerA2)
 	f.Kill(keeperA)
@@ -59,11 +60,12 @@
 	f.Eventually("books balance", func() bool { return f.balances(5000, charged) && f.books().FrozenTokens == 0 })
 }
 
-// Symptom: a top-up made on one side of a cut is lost or counts twice.
-// Sequence: cut zone A off, top up there, resend at another zone during and
-// after the cut. Cause: an identity that more than one zone may mint.
+// A top-up made on one side of a network partition must be neither lost nor
+// counted twice, as it would be if more than one zone could mint for the same
+// id. Zone A is cut off and takes a top-up, which is resent at another zone
+// during and after the partition.
 func TestTopUpInACutZoneCountsOnce(t *testing.T) {
-	f := start(t, 42)
+	f := startFleet(t, 42)
 	f.Cut(zoneA, zoneB)
 	f.Cut(zoneA, zoneC)
 	r := &messenger.TopUpRequest{Workspace: "w", TopUpId: zoneA + "/1", Tokens: 3000}
@@ -84,11 +86,12 @@
 	f.Eventually("books balance", func() bool { return f.balances(3000, charged) })
 }
 
-// Symptom: a workspace spends more than it paid for. Sequence: a router with
-// rights is frozen, its incarnation is fenced and its rights are spent by
-// another; then it goes on. Cause: a router that believes its own slice.
+// A workspace must not spend more than it paid for when a frozen router
+// resumes and relies on its old lease. The router is frozen with rights, its
+// incarnation is fenced, and another router spends the rights before it
+// resumes.
 func TestThawedRouterCannotSpendReturnedRights(t *testing.T) {
-	f := start(t, 43)
+	f := startFleet(t, 43)
 	f.topUp(zoneA+"/1", 100)
 	charged := f.mustCall(routerA1) + f.mustCall(routerA2)
 	frozen, other := routerA1, routerA2
@@ -121,11 +124,12 @@
 	f.Eventually("books balance", func() bool { return f.balances(100, charged) })
 }
 
-// Symptom: a request is billed twice. Sequence: zone A answers; zones are cut;
-// the caller comes back in zone B under the same identity and is answered
-// there too; the cut heals. Cause: bills that are unique within a zone only.
+// A request must be billed once, even if two zones answer it. Zone A answers,
+// the zones are partitioned, and the caller repeats the request under the
+// same id in zone B, which answers it too. Bills that are unique only within
+// a zone would count both after the partition heals.
 func TestRequestOfTwoZonesIsBilledOnce(t *testing.T) {
-	f := start(t, 45)
+	f := startFleet(t, 45)
 	f.topUp(zoneA+"/1", 3000)
 	f.mustCall(zoneB + "-1")
 	before := f.books().ChargedTokens
--- a/keeper/fleet_test.go
+++ b/keeper/fleet_test.go
@@ -25,20 +25,20 @@
 	routerA1, routerA2  = zoneA + "-1", zoneA + "-2"
 )
 
-// fleet is a deployment with one workspace, one service and an engine in zone
-// A.
+// fleet is a deployment with one workspace, one service and engines in zones
+// A and B.
 type fleet struct {
 	*launcher.Fleet
 	g   *gomega.WithT
 	key string
 	n   int
-	// Timeout is the deadline of requests.
+	// timeout is the deadline of requests.
 	timeout time.Duration
 }
 
-func start(t *testing.T, net int) *fleet { return startWith(t, launcher.Options{Net: net}) }
+func startFleet(t *testing.T, net int) *fleet { return startFleetWith(t, launcher.Options{Net: net}) }
 
-func startWith(t *testing.T, o launcher.Options) *fleet {
+func startFleetWith(t *testing.T, o launcher.Options) *fleet {
 	f := &fleet{Fleet: launcher.Start(t, o), g: gomega.NewWithT(t), timeout: 5 * time.Second}
 	f.Eventually("keepers answer", func() bool { _, code := f.Command("config", "show"); return code == 0 })
 	var made struct{ Key string }
@@ -66,13 +66,13 @@
 	})
 }
 
-// call sends a request with a new identity to a router.
+// call sends a request with a new id to a router.
 func (f *fleet) call(router string) (*imitator.Reply, error) {
 	f.n++
 	return f.callAs(router, fmt.Sprint("r", f.n))
 }
 
-// callAs sends a request with an identity.
+// callAs sends a request with the given id.
 func (f *fleet) callAs(router, id string) (*imitator.Reply, error) {
 	p, err := f.Settings().Process(loader.KindRouter, router)
 	f.g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -83,7 +83,7 @@
 	return c.Do(context.Background())
 }
 
-// mustCall repeats new requests until one is answered; it returns its price.
+// mustCall sends new requests until one is answered and returns its price.
 func (f *fleet) mustCall(router string) (price int64) {
 	f.Eventually("a request at "+router, func() bool {
 		r, err := f.call(router)
@@ -103,31 +103,32 @@
 	out, _ := f.Command("budget", "show", "w", "-o", "json")
 	_ = json.Unmarshal([]byte(out), &r)
 	for _, b := range r.Books {
-		total.MintedTokens += number(b["minted_tokens"])
-		total.ReceivedTokens += number(b["received_tokens"])
-		total.UnspentTokens += number(b["unspent_tokens"])
-		total.LeasedTokens += number(b["leased_tokens"])
-		total.ChargedTokens += number(b["charged_tokens"])
-		total.GivenTokens += number(b["given_tokens"])
-		total.FrozenTokens += number(b["frozen_tokens"])
+		total.MintedTokens += parseNumber(b["minted_tokens"])
+		total.ReceivedTokens += parseNumber(b["received_tokens"])
+		total.UnspentTokens += parseNumber(b["unspent_tokens"])
+		total.LeasedTokens += parseNumber(b["leased_tokens"])
+		total.ChargedTokens += parseNumber(b["charged_tokens"])
+		total.GivenTokens += parseNumber(b["given_tokens"])
+		total.FrozenTokens += parseNumber(b["frozen_tokens"])
 	}
 	return total
 }
 
-func number(v any) int64 {
+func parseNumber(v any) int64 {
 	n, _ := strconv.ParseInt(fmt.Sprint(v), 10, 64)
 	return n
 }
 
 // balances reports whether every paid token is accounted for and the charges
-// are those that the callers were told.
+// match what the callers were told.
 func (f *fleet) balances(paid, charged int64) bool {
 	b := f.books()
 	return b.MintedTokens == paid && b.ChargedTokens == charged &&
 		b.UnspentTokens+b.LeasedTokens+b.ChargedTokens+b.FrozenTokens+b.GivenTokens-b.ReceivedTokens == paid
 }
 
-// budget returns a member's connection to a keeper.
+// budget returns a client of a keeper, authenticated as a member of the
+// deployment.
 func (f *fleet) budget(t *testing.T, keeper string) messenger.BudgetKeeperClient {
 	p, err := f.Settings().Process(loader.KindKeeper, keeper)
 	f.g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/keeper/spread_report.go
+++ b/keeper/in_force.go
@@ -8,10 +8,11 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// reportKept is how long the last report of a silent subscriber is shown.
-const reportKept = 15 * time.Minute
+// reportTTL is how long the last report of a silent subscriber is shown.
+const reportTTL = 15 * time.Minute
 
-// reports holds the version that each subscriber said it serves.
+// reports holds the version that each subscriber last reported as being
+// served.
 type reports struct {
 	mu   sync.Mutex
 	last map[string]report
@@ -38,7 +39,7 @@
 	var out []*messenger.InForceEntry
 	for node, p := range r.last {
 		age := now.Sub(p.at)
-		if age > reportKept {
+		if age > reportTTL {
 			delete(r.last, node)
 			continue
 		}
@@ -47,22 +48,23 @@
 	return out
 }
 
-// ReportInForce notes the version that a subscriber serves. Its reply tells a
-// subscriber of another keeper whether this one can take it back.
+// ReportInForce records the version that a subscriber serves. The reply tells
+// a subscriber that has moved to another keeper whether this one can serve it
+// again.
 func (s *configurationServer) ReportInForce(_ context.Context, r *messenger.InForceReport) (*messenger.ReportReply, error) {
 	s.reports.put(r.Node, report{zone: r.Zone, version: r.Version, at: time.Now()})
 	return &messenger.ReportReply{Version: s.version(), AgeMs: s.ageMS()}, nil
 }
 
-// InForce returns the versions that the subscribers of every keeper serve. A
-// subscriber that has changed its keeper is shown by its newest report.
+// InForce returns the versions served by the subscribers of all keepers. A
+// subscriber that has changed keepers appears once, with its newest report.
 func (s *configurationServer) InForce(ctx context.Context, r *messenger.InForceRequest) (*messenger.InForceReply, error) {
 	out := &messenger.InForceReply{Nodes: s.reports.list(time.Now())}
 	if r.Local {
 		return out, nil
 	}
-	others := make(chan []*messenger.InForceEntry, len(s.keeper.peers.list))
-	failed := s.keeper.peers.each(ctx, func(ctx context.Context, p peer) error {
+	others := make(chan []*messenger.InForceEntry, len(s.keeper.peers.keepers))
+	failed := s.keeper.peers.callKeepers(ctx, func(ctx context.Context, p peer) error {
 		got, err := p.configuration().InForce(ctx, &messenger.InForceRequest{Local: true})
 		others <- got.GetNodes()
 		return err
@@ -71,14 +73,15 @@
 	for n := range others {
 		out.Nodes = append(out.Nodes, n...)
 	}
-	out.Nodes = newest(out.Nodes)
+	out.Nodes = newestPerNode(out.Nodes)
 	for _, p := range failed {
 		out.UnreachableKeepers = append(out.UnreachableKeepers, p.process.Name())
 	}
 	return out, nil
 }
 
-func newest(entries []*messenger.InForceEntry) []*messenger.InForceEntry {
+// newestPerNode keeps the most recent entry of each node.
+func newestPerNode(entries []*messenger.InForceEntry) []*messenger.InForceEntry {
 	at := map[string]int{}
 	var out []*messenger.InForceEntry
 	for _, e := range entries {
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -1,5 +1,6 @@
-// Package keeper is the process that holds durable state: the rights of its
-// availability zone and a copy of the configuration log.
+// Package keeper implements the process that holds durable state: the
+// spending rights of its availability zone and a copy of the configuration
+// log.
 package keeper
 
 import (
@@ -15,7 +16,8 @@
 	"rattanhoist.example/rattanhoist/storer"
 )
 
-// Keeper is one keeper process.
+// Keeper is a keeper process: its store, its gRPC servers and its connections
+// to other processes.
 type Keeper struct {
 	settings *loader.Settings
 	self     loader.Process
@@ -30,7 +32,7 @@
 }
 
 // New opens the keeper's store and restores its state. The returned function
-// releases what New took.
+// closes the store and the connections.
 func New(s *loader.Settings, self loader.Process, log *zap.Logger) (*Keeper, func(), error) {
 	store, closeStore, err := storer.Open(self.DataDir())
 	if err != nil {
@@ -70,7 +72,7 @@
 	return k, cleanUp, nil
 }
 
-// Run serves until ctx ends, or until the store fails.
+// Run serves until ctx ends or the store fails.
 func (k *Keeper) Run(parent context.Context) error {
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
@@ -93,7 +95,8 @@
 		zap.Uint64("configuration_version", k.config.version()))
 	<-ctx.Done()
 	k.server.Stop()
-	// The cause of a parent that ended is the signal, which is no failure.
+	// If the parent context ended, the process was asked to stop, which is
+	// not an error.
 	if parent.Err() != nil {
 		return nil
 	}
--- a/keeper/kills_test.go
+++ b/keeper/kills_test.go
@@ -12,18 +12,16 @@
 	"rattanhoist.example/rattanhoist/imitator"
 )
 
-// TestBooksHoldOverTwentyKills
-// Symptom: a budget is spent beyond what was paid, a request is billed twice
-// or rights are gone, after a real keeper was killed many times.
-// Sequence: callers at two routers send requests, again under the same id
-// until answered; meanwhile the zone's keeper is killed 20 times; each time
-// requests end without it, answered or refused, it comes back, and answers go
-// on.
-// Cause it guards against: charges and leases that are under way when the
-// keeper dies, and counted twice or not at all after it is back.
+// Killing a real keeper many times must not let a budget be overspent, a
+// request be billed twice or rights be lost. These happen if charges and
+// leases that are in flight when the keeper dies are counted twice or not at
+// all after its restart. Callers at two routers send requests, resending each
+// under the same id until it is answered, while the zone's keeper is killed
+// 20 times. Each time requests must end without it, answered or refused, and
+// be answered again after the restart.
 func TestBooksHoldOverTwentyKills(t *testing.T) {
 	const kills, callers = 20, 4
-	f := start(t, 46)
+	f := startFleet(t, 46)
 	f.topUp(zoneA+"/1", 1_000_000)
 	f.Eventually("the keepers are paired", func() bool {
 		return f.Mode(keeperA) == budgeter.ModePaired && f.Mode(keeperB) == budgeter.ModePaired
--- a/keeper/log_loop.go
+++ b/keeper/log_loop.go
@@ -19,24 +19,26 @@
 	"rattanhoist.example/rattanhoist/replicator"
 )
 
-// logVars holds the state of the log of each keeper in this process.
+// logVars publishes the log state of each keeper in this process.
 var logVars = expvar.NewMap("configuration_log")
 
-// logLoop is the replicated configuration at one keeper.
+// logLoop runs this keeper's replica of the configuration log.
 type logLoop struct {
 	*committer.Loop
 	book *configurer.Book
-	// Shown is the version that State stands for: its rows are synced.
-	shown atomic.Uint64
-	// Whole is the configuration of wholeVersion, made when first asked for.
-	whole        *messenger.Configuration
-	wholeVersion uint64
+	// syncedVersion is the version of the book whose rows are synced to disk.
+	syncedVersion atomic.Uint64
+	// cachedConfiguration is the configuration of cachedVersion, built on
+	// first use.
+	cachedConfiguration *messenger.Configuration
+	cachedVersion       uint64
 }
 
-// bookMachine applies committed entries to the book.
+// bookMachine applies committed log entries to the book.
 type bookMachine struct{ book *configurer.Book }
 
-// Apply returns a *messenger.ProposeReply.
+// Apply decides the change in a log entry and returns a
+// *messenger.ProposeReply.
 func (m bookMachine) Apply(data []byte) any {
 	c := &messenger.LogChange{}
 	if err := proto.Unmarshal(data, c); err != nil || c.Change == nil {
@@ -45,22 +47,23 @@
 	return m.book.Decide(c)
 }
 
-// Snapshot returns the whole book.
+// Snapshot returns the encoded book.
 func (m bookMachine) Snapshot() []byte {
 	b, err := m.book.Snapshot()
 	if err != nil {
-		// Changes came through a codec that refuses what can't be encoded.
+		// All changes passed a codec that rejects what can't be encoded.
 		panic(err)
 	}
 	return b
 }
 
-// Restore replaces the book.
+// Restore replaces the book by a snapshot.
 func (m bookMachine) Restore(b []byte) error { return m.book.Restore(b) }
 
-// voters is how many keepers vote: an odd number, so that a spare adds no
-// machine to the majority without adding a failure that it survives.
-func voters(keepers int) int {
+// voterCount returns how many of the keepers vote. Above two keepers the
+// number is odd: one voter more would enlarge the majority by a machine
+// without tolerating another failure.
+func voterCount(keepers int) int {
 	switch {
 	case keepers <= 3:
 		return keepers
@@ -71,7 +74,7 @@
 	}
 }
 
-// logCounters is the state of a log as its debug address shows it.
+// logCounters is the state of a log as shown at the debug address.
 type logCounters struct {
 	Version uint64 `json:"version"`
 	Commit  uint64 `json:"commit"`
@@ -79,11 +82,12 @@
 	Leader  string `json:"leader"`
 	Leads   bool   `json:"leads"`
 	Votes   bool   `json:"votes"`
-	// AgeMS is the time since a majority confirmed the copy; -1 if never.
+	// AgeMS is the time in milliseconds since a majority confirmed the copy,
+	// or -1 if none has.
 	AgeMS int64 `json:"age_ms"`
 }
 
-func (l *logLoop) vars() any {
+func (l *logLoop) counters() any {
 	s := l.State()
 	return logCounters{
 		Version: l.version(), Commit: s.Applied(), Term: s.Term(), Leader: s.Leader(),
@@ -91,8 +95,8 @@
 	}
 }
 
-// version returns the version that is synced here.
-func (l *logLoop) version() uint64 { return l.shown.Load() }
+// version returns the version that is synced to this keeper's disk.
+func (l *logLoop) version() uint64 { return l.syncedVersion.Load() }
 
 func newRand() *rand.Rand {
 	var seed [16]byte
@@ -100,30 +104,31 @@
 	return rand.New(rand.NewPCG(binary.BigEndian.Uint64(seed[:8]), binary.BigEndian.Uint64(seed[8:])))
 }
 
-// newLogLoop restores the log from the store. It ends at a refused write: the memory is
-// ahead of the disk then, and a keeper of budgets must not go on so.
+// newLogLoop restores the log from the store. The loop stops at the first
+// failed write: memory is then ahead of the disk, and a keeper of budgets
+// must not continue in that state.
 func newLogLoop(name string, peers []string, store committer.Store, r *rand.Rand, log *zap.Logger, send func(*messenger.LogMessage)) (*logLoop, error) {
 	l := &logLoop{book: configurer.NewBook()}
 	var err error
 	l.Loop, err = committer.New(committer.Options{
 		Core: replicator.Options{
-			Name: name, Peers: peers, Voters: voters(len(peers) + 1), Timing: replicator.DefaultTiming(),
+			Name: name, Peers: peers, Voters: voterCount(len(peers) + 1), Timing: replicator.DefaultTiming(),
 			Rand: r, Machine: bookMachine{book: l.book},
 		},
-		Store: store, Send: send, Committed: l.show, Prepare: l.prepare, EndsOnRefusal: true, Log: log,
+		Store: store, Send: send, Committed: l.publishVersion, Prepare: l.prepare, EndsOnRefusal: true, Log: log,
 	})
 	if err != nil {
 		return nil, merry.Errorf("%w; to come back, stop this keeper, move its data folder away and start it: it copies from the others", err)
 	}
-	logVars.Set(name, expvar.Func(l.vars))
+	logVars.Set(name, expvar.Func(l.counters))
 	return l, nil
 }
 
-// show publishes the version whose rows are synced.
-func (l *logLoop) show() { l.shown.Store(l.book.Version()) }
+// publishVersion makes the book's version visible once its rows are synced.
+func (l *logLoop) publishVersion() { l.syncedVersion.Store(l.book.Version()) }
 
-// prepare returns the log's data for a *messenger.Change, or the reply that it got
-// before.
+// prepare encodes a *messenger.Change for the log, or returns the earlier
+// reply if the change was already decided.
 func (l *logLoop) prepare(request any) ([]byte, any, error) {
 	c, ok := request.(*messenger.Change)
 	if !ok {
@@ -137,15 +142,16 @@
 	return data, nil, err
 }
 
-// change decides a change, which the loop keeps.
-func (l *logLoop) change(ctx context.Context, c *messenger.Change) (*messenger.ProposeReply, error) {
+// propose submits a change and waits for its decision. The loop retains c.
+func (l *logLoop) propose(ctx context.Context, c *messenger.Change) (*messenger.ProposeReply, error) {
 	out, err := l.Ask(ctx, c)
 	reply, _ := out.(*messenger.ProposeReply)
 	return reply, err
 }
 
-// viewBook returns what f returns for the book between two events, or the
-// zero value with an error; see readVault.
+// viewBook calls f with the book between two events and returns its result,
+// or the zero value with an error; see readVault for why the result is
+// returned rather than captured.
 func viewBook[T any](ctx context.Context, l *logLoop, f func(*configurer.Book) T) (T, error) {
 	var out, none T
 	if err := l.Look(ctx, func() { out = f(l.book) }); err != nil {
@@ -154,11 +160,11 @@
 	return out, nil
 }
 
-// configuration returns the whole configuration; called inside viewBook. All
-// callers of one version share it and must not change it.
+// configuration returns the full configuration. It must be called inside
+// viewBook. All callers share one value per version and must not modify it.
 func (l *logLoop) configuration() *messenger.Configuration {
-	if l.whole == nil || l.wholeVersion != l.book.Version() {
-		l.whole, l.wholeVersion = l.book.Configuration(), l.book.Version()
+	if l.cachedConfiguration == nil || l.cachedVersion != l.book.Version() {
+		l.cachedConfiguration, l.cachedVersion = l.book.Configuration(), l.book.Version()
 	}
-	return l.whole
+	return l.cachedConfiguration
 }
--- a/keeper/log_peers.go
+++ b/keeper/log_peers.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// outboxMost bounds the messages that wait for one keeper; more are
-	// dropped, as on a network that loses them.
-	outboxMost = 256
-	reopenWait = 50 * time.Millisecond
-	// barrierTimeout bounds a confirmed read's wait for a majority.
-	barrierTimeout = 1500 * time.Millisecond
-	barrierRetry   = 50 * time.Millisecond
+	// maxOutboxMessages bounds the messages queued for one keeper. Further
+	// ones are dropped, which the log handles like loss on a network.
+	maxOutboxMessages = 256
+	streamRetryDelay  = 50 * time.Millisecond
+	// barrierTimeout bounds how long a confirmed read waits for a majority.
+	barrierTimeout       = 1500 * time.Millisecond
+	barrierRetryInterval = 50 * time.Millisecond
 )
 
-// outbox carries log messages to one keeper, in order.
+// outbox sends log messages to one keeper, in order.
 type outbox struct {
 	peer     peer
 	messages chan *messenger.LogMessage
@@ -42,7 +42,7 @@
 		o.stream(ctx)
 		select {
 		case <-ctx.Done():
-		case <-time.After(reopenWait):
+		case <-time.After(streamRetryDelay):
 		}
 	}
 }
@@ -66,13 +66,13 @@
 	}
 }
 
-// logServer serves the log to the other keepers.
+// logServer serves the log protocol to the other keepers.
 type logServer struct {
 	messenger.UnimplementedLogKeeperServer
 	loop *logLoop
 }
 
-// Carry takes another keeper's messages.
+// Carry receives a stream of log messages from another keeper.
 func (s *logServer) Carry(r grpc.ClientStreamingServer[messenger.LogMessage, messenger.LogCarried]) error {
 	for {
 		m, err := r.Recv()
@@ -82,14 +82,16 @@
 		if err != nil {
 			return err
 		}
-		// One that finds the queue full is lost, as on a network; the log sends it again.
+		// A message that finds the queue full is dropped; the log sends it
+		// again.
 		if err := s.loop.Receive(m); err != nil && !errors.Is(err, committer.ErrBusy) {
 			return err
 		}
 	}
 }
 
-// Barrier answers, at the leader, after a majority has confirmed it.
+// Barrier returns the commit index once a majority has confirmed this keeper
+// as leader.
 func (s *logServer) Barrier(ctx context.Context, _ *messenger.BarrierRequest) (*messenger.BarrierReply, error) {
 	index, err := s.loop.Confirm(ctx)
 	if err != nil {
@@ -98,8 +100,8 @@
 	return &messenger.BarrierReply{Index: index}, nil
 }
 
-// barrier waits until the local copy has all that was accepted before the
-// call; it fails where no majority confirms that in time.
+// barrier waits until the local copy has everything that was accepted before
+// the call. It fails if no majority confirms that within barrierTimeout.
 func (s *configurationServer) barrier(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, barrierTimeout)
 	defer cancel()
@@ -111,11 +113,12 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(barrierRetry):
+		case <-time.After(barrierRetryInterval):
 		}
 	}
 }
 
+// barrierOnce makes one attempt at barrier.
 func (s *configurationServer) barrierOnce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -126,9 +129,11 @@
 	return s.loop.Reached(ctx, index)
 }
 
+// confirmedIndex returns the leader's commit index after a majority has
+// confirmed its leadership.
 func (s *configurationServer) confirmedIndex(ctx context.Context) (uint64, error) {
 	l := s.loop.State().Leader()
-	if p, ok := s.keeper.peers.name(l); ok {
+	if p, ok := s.keeper.peers.keeperByName(l); ok {
 		r, err := messenger.NewLogKeeperClient(p.conn).Barrier(ctx, &messenger.BarrierRequest{})
 		return r.GetIndex(), err
 	}
--- a/keeper/log_process_test.go
+++ b/keeper/log_process_test.go
@@ -19,12 +19,12 @@
 
 const callTimeout = 9 * time.Second
 
-// operator calls single keepers, as operators at different VMs do.
+// operator calls individual keepers, as operators on different VMs do.
 type operator struct {
 	t       *testing.T
 	f       *launcher.Fleet
 	clients map[string]messenger.ConfigurationKeeperClient
-	// Base is the last version that an answer named.
+	// base is the last version named in a reply.
 	base uint64
 }
 
@@ -55,7 +55,7 @@
 	}})
 }
 
-// read returns the keeper's copy, or nil where it refuses.
+// read returns the keeper's copy, or nil if it refuses.
 func (o *operator) read(keeper string, confirmed bool) *messenger.ReadReply {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -70,7 +70,7 @@
 	return o.read(keeper, false).GetConfiguration().GetVersion()
 }
 
-// leader waits until a keeper of the list leads.
+// leader waits until one of the listed keepers leads and returns it.
 func (o *operator) leader(among ...string) string {
 	var found string
 	o.f.Eventually("a leader", func() bool {
@@ -86,14 +86,14 @@
 }
 
 // accept gets a change accepted through any of the keepers, rebasing and
-// resending under the same id until it is; it returns the version.
+// resending it under the same id until then, and returns the version.
 func (o *operator) accept(id string, r *rand.Rand) uint64 {
 	var version uint64
 	base := o.base
 	o.f.Eventually("change "+id+" is accepted", func() bool {
 		k := keepers[r.IntN(len(keepers))]
 		if r.IntN(5) == 0 {
-			// The answer of this try is lost on the way.
+			// The short timeout simulates a reply that is lost on the way.
 			_, _ = o.proposeWithin(time.Duration(r.IntN(4))*time.Millisecond, k, id, base)
 		}
 		out, err := o.propose(k, id, base)
@@ -112,7 +112,7 @@
 	return version
 }
 
-// history returns the ids of all accepted changes at one keeper.
+// history returns the ids of all changes accepted at one keeper.
 func (o *operator) history(keeper string) []string {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -130,7 +130,8 @@
 	return ids
 }
 
-// expectAcked looks for every acknowledged change at its version, once.
+// expectAcked checks that every acknowledged change is present exactly once,
+// at its version.
 func (o *operator) expectAcked(acked map[string]uint64, keepers ...string) {
 	o.t.Helper()
 	for _, k := range keepers {
@@ -150,11 +151,11 @@
 	}
 }
 
-// TestChangesSurviveKills: symptom, after keepers were killed and restarted an
-// acknowledged change is missing, there twice or out of order. Sequence: 500
-// changes through keepers drawn at random, some answers lost and the changes sent again,
-// one keeper at a time killed and restarted at seeded moments, then all killed and restarted. Cause: a change
-// acknowledged before a majority had it on disk.
+// After kills and restarts of keepers, no acknowledged change may be missing,
+// duplicated or out of order. A change acknowledged before a majority has it
+// on disk would break this. 500 changes go through random keepers, some
+// replies are lost and those changes resent, one keeper at a time is killed
+// and restarted at seeded moments, and finally all are.
 func TestChangesSurviveKills(t *testing.T) {
 	t.Parallel()
 	f := launcher.Start(t, launcher.Options{Net: 60})
@@ -199,11 +200,11 @@
 	t.Logf("500 changes, %d kills", kills)
 }
 
-// TestIsolatedLeaderAcceptsNothing: symptom, two operators both hear that
-// their change is the next version. Sequence: the leader's zone is cut off
-// silently, one operator asks the old leader, others race at the rest under
-// equal versions, the cut heals. Cause: a leader that goes on without a
-// majority.
+// Two operators must not both be told that their change is the next version.
+// A leader that continues without a majority would do that. The leader's zone
+// is cut off by dropping packets, one operator calls the old leader, others
+// propose concurrently at the remaining keepers with the same base versions,
+// and the partition heals.
 func TestIsolatedLeaderAcceptsNothing(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
@@ -242,7 +243,7 @@
 	}
 	f.Eventually("the old leader catches up", func() bool { return o.version(old) == base+1 })
 	for i, p := range replies {
-		// A resend gets the first answer, also after the leader's change.
+		// A resent change gets its first reply, also from another leader.
 		again, err := o.propose(old, fmt.Sprint("racer-", i), base)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		if p.GetOutcome() == messenger.ChangeOutcome_CHANGE_OUTCOME_ACCEPTED {
@@ -255,9 +256,9 @@
 	}
 }
 
-// TestFrozenLeader: symptom, a frozen leader goes on as leader once it thaws.
-// Sequence: freeze, a change at the rest, thaw, a change at the old leader
-// with the old base.
+// A leader that was frozen must not continue as leader when it resumes. The
+// other keepers accept a change in the meantime, and afterwards the old
+// leader gets a change with the old base version.
 func TestFrozenLeader(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
@@ -283,11 +284,10 @@
 	g.Expect(after.Since[0].ChangeId).To(gomega.Equal("during"))
 }
 
-// TestSecondLossAfterRepair: symptom, a change accepted before the first loss
-// is gone after the second. Sequence: a keeper's disk is emptied, it rejoins,
-// and once it counts as repaired another disk is emptied right away.
-// Cause: a repair that counts before the copy is complete, or an empty disk
-// that votes under its old name.
+// A change that was accepted before a first disk loss must survive a second
+// one. It would be lost if a repair counted before its copy is complete, or
+// if an empty disk voted under its old name. One keeper's disk is emptied
+// and, as soon as it counts as repaired, another's.
 func TestSecondLossAfterRepair(t *testing.T) {
 	t.Parallel()
 	f := launcher.Start(t, launcher.Options{Net: 63})
@@ -300,11 +300,11 @@
 		acked[id] = o.accept(id, r)
 	}
 	for round, k := range []string{first, without(keepers, first)[0], without(keepers, first)[1]} {
-		before := o.disk(first, k)
+		before := o.voterIncarnation(first, k)
 		f.Kill(k)
 		f.Wipe(k)
 		f.Restart(k)
-		f.Eventually(k+" counts as repaired", func() bool { now := o.disk(k, k); return now != 0 && now != before })
+		f.Eventually(k+" counts as repaired", func() bool { now := o.voterIncarnation(k, k); return now != 0 && now != before })
 		id := fmt.Sprint("after-", round)
 		acked[id] = o.accept(id, r)
 	}
@@ -314,9 +314,9 @@
 	o.expectAcked(acked, keepers...)
 }
 
-// disk returns the incarnation that votes for a keeper, as another one's
-// confirmed copy has it; 0 for none.
-func (o *operator) disk(at, of string) uint64 {
+// voterIncarnation returns the incarnation that votes for a keeper according
+// to another keeper's confirmed copy, or 0 if none does.
+func (o *operator) voterIncarnation(at, of string) uint64 {
 	for _, m := range o.read(at, true).GetKeepers() {
 		if m.Name == of {
 			return m.Incarnation
--- a/keeper/log_propose.go
+++ b/keeper/log_propose.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// proposeTimeout bounds the tries of one change, below the time that an
-	// operator's command waits.
-	proposeTimeout = 8 * time.Second
-	proposeTry     = time.Second
-	proposeRetry   = 50 * time.Millisecond
+	// proposeTimeout bounds all attempts at one change. It is shorter than
+	// the timeout of an operator's command.
+	proposeTimeout        = 8 * time.Second
+	proposeAttemptTimeout = time.Second
+	proposeRetryInterval  = 50 * time.Millisecond
 	// leaderWait is how long a change waits for a leader before it is
-	// refused; longer than an election takes.
+	// refused. It exceeds the duration of an election.
 	leaderWait = 2500 * time.Millisecond
 )
 
-// Propose accepts or refuses a change at any keeper. The keeper tries again
-// under the same change id while leaders change; where the outcome stays
-// unknown it says so.
+// Propose has a change accepted or refused; any keeper can be called. While
+// leaders change the keeper retries under the same change id. If the outcome
+// stays unknown, the reply says so.
 func (s *configurationServer) Propose(ctx context.Context, r *messenger.ProposeRequest) (*messenger.ProposeReply, error) {
 	if r.Change == nil {
 		return nil, status.Error(codes.InvalidArgument, "change: missing")
 	}
 	if r.Forwarded {
-		out, err := s.proposeHere(ctx, r.Change)
+		out, err := s.proposeLocally(ctx, r.Change)
 		if errors.Is(err, committer.ErrNotLeader) {
 			return nil, status.Error(codes.FailedPrecondition, err.Error())
 		}
@@ -43,6 +43,7 @@
 	return s.proposeUntil(ctx, r.Change)
 }
 
+// proposeUntil retries a change until it is decided or ctx ends.
 func (s *configurationServer) proposeUntil(ctx context.Context, c *messenger.Change) (*messenger.ProposeReply, error) {
 	started := time.Now()
 	begun := false
@@ -53,27 +54,27 @@
 		}
 		begun = begun || !errors.Is(err, committer.ErrNotLeader) && !errors.Is(err, committer.ErrBusy)
 		if !begun && time.Since(started) > leaderWait {
-			return nil, s.notBegun()
+			return nil, s.notAcceptedError()
 		}
 		select {
 		case <-ctx.Done():
 			if !begun {
-				return nil, s.notBegun()
+				return nil, s.notAcceptedError()
 			}
 			return &messenger.ProposeReply{Outcome: messenger.ChangeOutcome_CHANGE_OUTCOME_UNKNOWN, Version: s.version()}, nil
-		case <-time.After(proposeRetry):
+		case <-time.After(proposeRetryInterval):
 		}
 	}
 }
 
-// proposeOnce tries the leader that is known now; committer.ErrNotLeader and ErrBusy
-// say that nothing was begun.
+// proposeOnce sends a change to the current leader. committer.ErrNotLeader
+// and committer.ErrBusy mean that the change has reached no log.
 func (s *configurationServer) proposeOnce(ctx context.Context, c *messenger.Change) (*messenger.ProposeReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposeTry)
+	ctx, cancel := context.WithTimeout(ctx, proposeAttemptTimeout)
 	defer cancel()
 	l := s.loop.State().Leader()
-	if p, ok := s.keeper.peers.name(l); ok {
-		go s.endWithLeader(ctx, cancel, l)
+	if p, ok := s.keeper.peers.keeperByName(l); ok {
+		go s.cancelOnLeaderChange(ctx, cancel, l)
 		out, err := p.configuration().Propose(ctx, &messenger.ProposeRequest{Change: c, Forwarded: true})
 		if status.Code(err) == codes.FailedPrecondition {
 			return nil, committer.ErrNotLeader
@@ -83,14 +84,15 @@
 	if l != s.keeper.self.Name() {
 		return nil, committer.ErrNotLeader
 	}
-	return s.proposeHere(ctx, c)
+	return s.proposeLocally(ctx, c)
 }
 
-// endWithLeader cancels a call once its leader is no longer taken for one: a
-// leader that was cut off silently answers nothing, and the change need not
-// wait for the end of the try.
-func (s *configurationServer) endWithLeader(ctx context.Context, cancel func(), leader string) {
-	t := time.NewTicker(proposeRetry)
+// cancelOnLeaderChange cancels a call as soon as this keeper no longer
+// considers the callee the leader. A leader behind a network partition that
+// drops packets never answers, and the change need not wait for the timeout
+// of the attempt.
+func (s *configurationServer) cancelOnLeaderChange(ctx context.Context, cancel func(), leader string) {
+	t := time.NewTicker(proposeRetryInterval)
 	defer t.Stop()
 	for s.loop.State().Leader() == leader {
 		select {
@@ -102,20 +104,21 @@
 	cancel()
 }
 
-// proposeHere hands the loop its own copy: a caller that gives up may send
-// the change again while the loop still reads it.
-func (s *configurationServer) proposeHere(ctx context.Context, c *messenger.Change) (*messenger.ProposeReply, error) {
-	return s.loop.change(ctx, proto.Clone(c).(*messenger.Change))
+// proposeLocally proposes a copy of the change to this keeper's log: a caller
+// that gives up may resend the change while the loop still reads it.
+func (s *configurationServer) proposeLocally(ctx context.Context, c *messenger.Change) (*messenger.ProposeReply, error) {
+	return s.loop.propose(ctx, proto.Clone(c).(*messenger.Change))
 }
 
-// notBegun says that no keeper has the change, so that an operator is not
-// told that the outcome is unknown.
-func (s *configurationServer) notBegun() error {
-	return status.Error(codes.Aborted, status.Convert(s.cutOff("the change was not accepted")).Message())
+// notAcceptedError reports that no keeper has the change, so that the
+// operator is not told that the outcome is unknown.
+func (s *configurationServer) notAcceptedError() error {
+	return status.Error(codes.Aborted, status.Convert(s.noMajorityError("the change was not accepted")).Message())
 }
 
-// cutOff is the refusal of a keeper that finds no majority.
-func (s *configurationServer) cutOff(what string) error {
+// noMajorityError returns the error of a keeper that reaches no majority,
+// with the version and age of its copy. The text starts with what failed.
+func (s *configurationServer) noMajorityError(what string) error {
 	st := s.loop.State()
 	age := "not confirmed since this keeper started"
 	if !st.ConfirmedAt().IsZero() {
--- a/keeper/log_store_test.go
+++ b/keeper/log_store_test.go
@@ -22,8 +22,9 @@
 
 var errDisk = errors.New("injected disk error")
 
-// faultyStore fails its write number failAt: before it, as a failed write
-// does, or after it, as a failed sync whose rows reached the disk.
+// faultyStore fails its write number failAt: either before the write, as for
+// a failed write, or after it, as for a failed sync whose rows reached the
+// disk.
 type faultyStore struct {
 	mu     sync.Mutex
 	rows   map[string]map[string][]byte
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// cluster runs three logs in one process, under synctest's clock.
+// cluster runs three logs in one process under synctest's clock.
 type cluster struct {
 	t      *testing.T
 	ctx    context.Context
@@ -120,13 +121,14 @@
 	if l == nil {
 		return
 	}
-	// One that finds the queue full is lost.
+	// A message that finds the queue full is dropped.
 	_ = l.Receive(m)
 }
 
 func (c *cluster) accept(id string) uint64 { return c.acceptAt(id, 0) }
 
-// acceptAt tries the bases from one on until the change is accepted.
+// acceptAt proposes a change at all keepers in turn, from the given base
+// version on and rebased after a conflict, until it is accepted.
 func (c *cluster) acceptAt(id string, base uint64) uint64 {
 	for {
 		for _, n := range clusterNames {
@@ -135,7 +137,7 @@
 				continue
 			}
 			ctx, cancel := context.WithTimeout(c.ctx, time.Second)
-			reply, err := l.change(ctx, &messenger.Change{ChangeId: id, BaseVersion: base, Edits: []*messenger.Edit{
+			reply, err := l.propose(ctx, &messenger.Change{ChangeId: id, BaseVersion: base, Edits: []*messenger.Edit{
 				{Kind: &messenger.Edit_PutWorkspace{PutWorkspace: &messenger.Workspace{Name: id}}},
 			}})
 			cancel()
@@ -147,7 +149,7 @@
 				base = reply.Version
 			}
 		}
-		time.Sleep(proposeRetry)
+		time.Sleep(proposeRetryInterval)
 	}
 }
 
@@ -162,19 +164,19 @@
 	return ids
 }
 
-// TestStoreFailsAtEveryWrite: symptom, an acknowledged change is gone after a
-// disk error. Sequence: one keeper's write number n fails, before or after its
-// rows reached the disk; the keeper must stop, starts again from what is there
-// and catches up; for every n until a run meets no failure. Cause: an answer
-// or a vote that leaves before its rows are synced, or a process that goes on
-// after a failed write.
+// An acknowledged change must survive a disk error. It would be lost if a
+// reply or vote left before its rows are synced, or if a process continued
+// after a failed write. One keeper's write number n fails, before or after
+// its rows reach the disk; the keeper must stop, and after a restart from its
+// disk it must catch up. This repeats for every n until a run meets no
+// failure.
 func TestStoreFailsAtEveryWrite(t *testing.T) {
 	for _, after := range []bool{false, true} {
 		for n := 1; ; n++ {
 			if n > 200 {
 				t.Fatal("the failure is still met after 200 writes")
 			}
-			if !storeFails(t, n, after) {
+			if !runWithFailedWrite(t, n, after) {
 				t.Logf("sync failed after the rows: %v; %d writes failed one by one", after, n-1)
 				break
 			}
@@ -182,7 +184,7 @@
 	}
 }
 
-func storeFails(t *testing.T, n int, after bool) (met bool) {
+func runWithFailedWrite(t *testing.T, n int, after bool) (met bool) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		c := &cluster{t: t, ctx: ctx, loops: map[string]*logLoop{}, stores: map[string]*faultyStore{}, rand: rand.New(rand.NewPCG(uint64(n), 3))}
@@ -216,9 +218,9 @@
 	return met
 }
 
-// TestDamagedDiskStopsKeeper: symptom, a keeper starts with a damaged log and
-// votes or answers from it. Sequence: one bit of one row changes while the
-// keeper is down. The start must fail and say what to do.
+// A keeper must not vote or answer from a damaged log. One bit of one row is
+// flipped while the keeper is down; its start must fail with an error that
+// says what to do.
 func TestDamagedDiskStopsKeeper(t *testing.T) {
 	s := &faultyStore{rows: map[string]map[string][]byte{}}
 	open := func() error {
@@ -226,7 +228,8 @@
 		if err != nil {
 			return err
 		}
-		// Long enough for it to found a deployment of one and lead it.
+		// Two seconds are enough to found a deployment of one keeper and to
+		// lead it.
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		ended := make(chan error, 1)
--- a/keeper/mirror.go
+++ b/keeper/mirror.go
@@ -14,48 +14,53 @@
 )
 
 const (
-	// pairEvery is the pause between tries to bring the mirror up to date.
-	pairEvery = 100 * time.Millisecond
-	// verifyEvery is the pause between questions to a mirror that is paired.
-	verifyEvery = time.Second
-	// wholeTimeout bounds the sending of a whole copy.
-	wholeTimeout = 5 * time.Minute
-	// partMost bounds the rows of one part of a whole copy.
-	partMost = 500
+	// syncInterval is the pause between attempts to bring the mirror up to
+	// date.
+	syncInterval = 100 * time.Millisecond
+	// verifyInterval is the pause between checks of a mirror that is up to
+	// date.
+	verifyInterval = time.Second
+	// fullCopyTimeout bounds the transfer of a full copy.
+	fullCopyTimeout = 5 * time.Minute
+	// maxRowsPerPart bounds the rows in one part of a full copy.
+	maxRowsPerPart = 500
 )
 
-// errCopyLost says that the mirror does not have what it had acknowledged.
-var errCopyLost = merry.Sentinel("mirror lost its copy")
+// errMirrorLostCopy means that the mirror no longer has commits that it had
+// acknowledged.
+var errMirrorLostCopy = merry.Sentinel("mirror lost its copy")
 
-// mirrorSender implements mirrorLink over the connections to the peers.
+// mirrorSender implements mirrorLink and mirrorClient over the connections to
+// the peers.
 type mirrorSender struct {
 	peers *peers
-	// Keeper is the mirror; nil where there is none.
-	keeper messenger.BudgetKeeperClient
+	// mirror is the client of the mirror, nil if there is none.
+	mirror messenger.BudgetKeeperClient
 }
 
 func newMirrorSender(p *peers) mirrorSender {
-	m, ok := p.name(p.mirror)
+	m, ok := p.keeperByName(p.mirror)
 	if !ok {
 		return mirrorSender{peers: p}
 	}
-	return mirrorSender{peers: p, keeper: messenger.NewPackedMirror(m.budget())}
+	return mirrorSender{peers: p, mirror: messenger.NewPackedMirror(m.budget())}
 }
 
 func (m mirrorSender) exists() bool { return m.peers.mirror != "" }
 
-func (m mirrorSender) client() messenger.BudgetKeeperClient { return m.keeper }
+func (m mirrorSender) client() messenger.BudgetKeeperClient { return m.mirror }
 
 func (m mirrorSender) copy(ctx context.Context, r *messenger.CopyRequest) error {
 	_, err := m.client().Copy(ctx, r)
 	return err
 }
 
-// mark asks the other keepers and the zone's routers on other VMs at once;
-// one that holds the mark is enough, since a restore asks them all.
+// mark stores the solo mark at another keeper or at one of the zone's routers
+// on other VMs. It asks all of them concurrently. One holder is enough,
+// because a restore asks them all.
 func (m mirrorSender) mark(ctx context.Context, mark *messenger.SoloMark) error {
-	holders := append(m.peers.markHolders(), m.peers.routersElsewhere()...)
-	return firstOf(ctx, holders, func(ctx context.Context, p peer) error {
+	holders := append(m.peers.soloMarkHolders(), m.peers.routersOnOtherVMs()...)
+	return firstSuccess(ctx, holders, func(ctx context.Context, p peer) error {
 		if p.process.Kind() == "keeper" {
 			_, err := p.budget().Mark(ctx, &messenger.MarkRequest{Mark: mark})
 			return err
@@ -67,72 +72,76 @@
 	})
 }
 
-// mirrorClient reaches the mirror's keeper.
+// mirrorClient gives access to the keeper that is the mirror.
 type mirrorClient interface {
 	exists() bool
 	client() messenger.BudgetKeeperClient
 }
 
-// pairing keeps the mirror up to date whenever commits do not reach it.
-type pairing struct {
+// mirrorSync sends the mirror the commits that it has missed.
+type mirrorSync struct {
 	loop   *vaultLoop
 	sender mirrorClient
 	store  *storer.Store
 	log    *zap.Logger
-	// Mirror is the mirror's own incarnation as last heard.
-	mirror uint64
-	// Has is how far the copy reached when last heard while paired.
-	has *messenger.CopyState
+	// mirrorIncarnation is the highest incarnation that the mirror has
+	// reported for its own vault.
+	mirrorIncarnation uint64
+	// lastCopyState is how far the copy reached when last reported while
+	// paired.
+	lastCopyState *messenger.CopyState
 }
 
-func (p *pairing) run(ctx context.Context) {
+func (p *mirrorSync) run(ctx context.Context) {
 	var verified time.Time
 	for ctx.Err() == nil {
 		if p.loop.currentMode() != budgeter.ModePaired {
-			if err := p.once(ctx); err != nil && ctx.Err() == nil {
+			if err := p.syncOnce(ctx); err != nil && ctx.Err() == nil {
 				p.log.Debug("mirror is not up to date", zap.Error(err))
 			}
-		} else if time.Since(verified) > verifyEvery {
+		} else if time.Since(verified) > verifyInterval {
 			p.verify(ctx)
 			verified = time.Now()
 		}
-		pause(ctx, pairEvery)
+		sleep(ctx, syncInterval)
 	}
 }
 
-// verify asks a mirror that takes commits whether it has the earlier ones too:
-// one that lost its disk while nothing was committed would otherwise pass for
-// a second disk until this one is lost as well.
-func (p *pairing) verify(ctx context.Context) {
+// verify checks that a mirror which takes commits still has the earlier ones.
+// If the mirror lost its disk while nothing was committed, it would otherwise
+// count as the second disk until this one is lost too.
+func (p *mirrorSync) verify(ctx context.Context) {
 	if !p.sender.exists() {
 		return
 	}
-	has, err := p.copyOne(ctx, &messenger.CopyRequest{State: &messenger.CopyState{Zone: p.loop.vault.Zone()}})
+	has, err := p.sendCommit(ctx, &messenger.CopyRequest{State: &messenger.CopyState{Zone: p.loop.vault.Zone()}})
 	if err != nil {
 		return
 	}
-	// The last commit may be under way; what the mirror had before may not be
-	// gone.
-	if has.GetIncarnation() != p.has.GetIncarnation() || has.GetNumber() < p.has.GetNumber() {
-		p.loop.lost(errCopyLost)
+	// The last commit may still be in transit, but what the mirror had at the
+	// previous check must not be missing.
+	if has.GetIncarnation() != p.lastCopyState.GetIncarnation() || has.GetNumber() < p.lastCopyState.GetNumber() {
+		p.loop.mirrorLost(errMirrorLostCopy)
 		return
 	}
-	p.has = has
+	p.lastCopyState = has
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// once sends what the mirror lacks until it has the last commit.
-func (p *pairing) once(ctx context.Context) error {
+// syncOnce sends the commits that the mirror lacks, or a full copy, until it
+// has the last commit.
+func (p *mirrorSync) syncOnce(ctx context.Context) error {
 	if !p.sender.exists() {
-		return p.caughtUp(ctx, p.state())
+		return p.markPaired(ctx, p.state())
 	}
-	state, err := p.copyOne(ctx, &messenger.CopyRequest{State: &messenger.CopyState{Zone: p.loop.vault.Zone()}})
+	state, err := p.sendCommit(ctx, &messenger.CopyRequest{State: &messenger.CopyState{Zone: p.loop.vault.Zone()}})
 	if err != nil {
 		return err
 	}
@@ -141,64 +150,69 @@
 		commits, whole := p.loop.copier.Missing(state)
 		p.loop.mu.Unlock()
 		if whole {
-			if state, err = p.sendWhole(ctx); err != nil {
+			if state, err = p.sendFullCopy(ctx); err != nil {
 				return err
 			}
 			continue
 		}
 		for _, r := range commits {
-			if state, err = p.copyOne(ctx, r); err != nil {
+			if state, err = p.sendCommit(ctx, r); err != nil {
 				return err
 			}
 		}
 		if len(commits) == 0 {
-			return p.caughtUp(ctx, state)
+			return p.markPaired(ctx, state)
 		}
 	}
 }
 
-func (p *pairing) state() *messenger.CopyState {
+func (p *mirrorSync) state() *messenger.CopyState {
 	p.loop.mu.Lock()
 	defer p.loop.mu.Unlock()
 	return p.loop.copier.State()
 }
 
-func (p *pairing) copyOne(ctx context.Context, r *messenger.CopyRequest) (*messenger.CopyState, error) {
+// sendCommit sends one commit and returns how far the copy then reaches. A
+// request without a commit number only queries the copy.
+func (p *mirrorSync) sendCommit(ctx context.Context, r *messenger.CopyRequest) (*messenger.CopyState, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	out, err := p.sender.client().Copy(ctx, r)
-	p.mirror = max(p.mirror, out.GetMirrorIncarnation())
+	p.mirrorIncarnation = max(p.mirrorIncarnation, out.GetMirrorIncarnation())
 	return out.GetState(), err
 }
 
-// caughtUp notes on disk that the vault was paired: from then on it may go on
-// without its mirror, since a lost disk can't pass for a first start.
-func (p *pairing) caughtUp(ctx context.Context, state *messenger.CopyState) error {
+// markPaired records on disk that the vault was paired, and notifies the
+// vault if the mirror has its last commit. With this record the vault may
+// continue without its mirror, since a lost disk can then no longer be
+// mistaken for a first start.
+func (p *mirrorSync) markPaired(ctx context.Context, state *messenger.CopyState) error {
 	row := storer.Row{Bucket: bucketCommit, Key: keyPaired, Value: strconv.AppendUint(nil, state.Incarnation, 10)}
 	if err := p.store.Apply([]storer.Row{row}); err != nil {
 		return err
 	}
-	p.has = state
+	p.lastCopyState = state
 	p.loop.mu.Lock()
 	paired := p.loop.copier.CaughtUp(state)
 	p.loop.mu.Unlock()
 	if !paired {
 		return nil
 	}
-	_, err := p.loop.handle(ctx, budgeter.Paired{MirrorIncarnation: p.mirror})
+	_, err := p.loop.handle(ctx, budgeter.Paired{MirrorIncarnation: p.mirrorIncarnation})
 	return err
 }
 
-// sendWhole replaces the mirror's copy by one consistent state of the store,
-// and returns that state once the mirror has verified the digest.
-func (p *pairing) sendWhole(ctx context.Context) (*messenger.CopyState, error) {
-	ctx, cancel := context.WithTimeout(ctx, wholeTimeout)
+// sendFullCopy replaces the mirror's copy by one consistent snapshot of the
+// store. It returns the snapshot's state once the mirror has verified the
+// digest.
+func (p *mirrorSync) sendFullCopy(ctx context.Context) (*messenger.CopyState, error) {
+	ctx, cancel := context.WithTimeout(ctx, fullCopyTimeout)
 	defer cancel()
 	s, err := p.sender.client().Replace(ctx)
 	if err != nil {
 		return nil, err
 	}
-	err = p.store.View(func(v storer.View) error { return sendRows(v, bucketCommit, keyState, vaultRows, s.Send) })
+	err = p.store.View(func(v storer.View) error { return sendRows(v, bucketCommit, keyState, eachVaultRow, s.Send) })
 	if err != nil {
 		return nil, err
 	}
--- a/keeper/mirror_test.go
+++ b/keeper/mirror_test.go
@@ -14,40 +14,40 @@
 	"rattanhoist.example/rattanhoist/storer"
 )
 
-// parts is a stream of a whole copy that may break off.
-type parts struct {
+// partStream is a stream of a full copy that can break off.
+type partStream struct {
 	grpc.ClientStreamingServer[messenger.CopyPart, messenger.CopyReply]
 	list []*messenger.CopyPart
 }
 
-var errBroken = errors.New("connection broken")
+var errConnectionBroken = errors.New("connection broken")
 
-func (p *parts) Recv() (*messenger.CopyPart, error) {
+func (p *partStream) Recv() (*messenger.CopyPart, error) {
 	if len(p.list) == 0 {
-		return nil, errBroken
+		return nil, errConnectionBroken
 	}
 	next := p.list[0]
 	p.list = p.list[1:]
 	return next, nil
 }
 
-func (*parts) SendAndClose(*messenger.CopyReply) error { return nil }
+func (*partStream) SendAndClose(*messenger.CopyReply) error { return nil }
 
-func newHolder(t *testing.T) *mirrorHolder {
+func newHolder(t *testing.T) *copyStore {
 	store, closeStore, err := storer.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = closeStore() })
-	return &mirrorHolder{store: store, log: zap.NewNop()}
+	return &copyStore{store: store, log: zap.NewNop()}
 }
 
-func row(key, value string) *messenger.CopyRow {
+func copyRow(key, value string) *messenger.CopyRow {
 	return &messenger.CopyRow{Bucket: budgeter.BucketBooks, Key: key, Value: []byte(value)}
 }
 
-// whole returns the parts of a copy with one row in each.
-func whole(number uint64, rows ...*messenger.CopyRow) []*messenger.CopyPart {
+// fullCopyParts returns the parts of a copy, with one row in each.
+func fullCopyParts(number uint64, rows ...*messenger.CopyRow) []*messenger.CopyPart {
 	out := []*messenger.CopyPart{{State: &messenger.CopyState{Zone: "a", Incarnation: 1, Number: number}}}
 	d := budgeter.NewRowDigest()
 	for _, r := range rows {
@@ -57,8 +57,8 @@
 	return append(out, &messenger.CopyPart{Last: true, RowsDigest: d.Sum()})
 }
 
-func held(t *testing.T, h *mirrorHolder) (state *messenger.CopyState, values []string) {
-	err := h.fetch("a", func(p *messenger.CopyPart) error {
+func readHeldCopy(t *testing.T, h *copyStore) (state *messenger.CopyState, values []string) {
+	err := h.sendCopy("a", func(p *messenger.CopyPart) error {
 		if p.State != nil {
 			state = p.State
 		}
@@ -73,83 +73,83 @@
 	return state, values
 }
 
-// Symptom: a keeper that lost its disk is restored from half a copy. Sequence:
-// a mirror has a copy; a newer whole copy breaks off midway, or arrives with a
-// row missing. Cause: a copy that is replaced in place.
-func TestBrokenWholeCopyLeavesTheOldOne(t *testing.T) {
+// A keeper that lost its disk must not be restored from half a copy, as could
+// happen if a copy were replaced in place. The mirror has a copy, and a newer
+// full copy breaks off midway or arrives with a row missing.
+func TestBrokenFullCopyKeepsTheOldOne(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := newHolder(t)
-	g.Expect(h.replace(&parts{list: whole(1, row("w", "1"), row("x", "2"))})).To(gomega.Succeed())
-	newer := whole(9, row("w", "3"), row("y", "4"))
-	g.Expect(h.replace(&parts{list: newer[:2]})).To(gomega.MatchError(errBroken))
+	g.Expect(h.replace(&partStream{list: fullCopyParts(1, copyRow("w", "1"), copyRow("x", "2"))})).To(gomega.Succeed())
+	newer := fullCopyParts(9, copyRow("w", "3"), copyRow("y", "4"))
+	g.Expect(h.replace(&partStream{list: newer[:2]})).To(gomega.MatchError(errConnectionBroken))
 	missing := append(newer[:1:1], newer[2:]...)
-	g.Expect(h.replace(&parts{list: missing})).To(gomega.MatchError(budgeter.ErrCorrupt))
-	state, values := held(t, h)
+	g.Expect(h.replace(&partStream{list: missing})).To(gomega.MatchError(budgeter.ErrCorrupt))
+	state, values := readHeldCopy(t, h)
 	g.Expect(state.Number).To(gomega.Equal(uint64(1)))
 	g.Expect(values).To(gomega.Equal([]string{"w=1", "x=2"}))
-	g.Expect(h.replace(&parts{list: newer})).To(gomega.Succeed())
-	_, values = held(t, h)
+	g.Expect(h.replace(&partStream{list: newer})).To(gomega.Succeed())
+	_, values = readHeldCopy(t, h)
 	g.Expect(values).To(gomega.Equal([]string{"w=3", "y=4"}))
 }
 
-// Symptom: a restored zone lacks commits that it had answered. Sequence: a
-// commit does not reach the mirror, the next one does. Cause: a mirror that
-// takes commits with a gap, or of another past.
+// A restored zone must have all commits that it had answered. A mirror that
+// accepted commits with a gap, or of another history, would lack some. Here
+// one commit does not reach the mirror, and the next one does.
 func TestMirrorRefusesAGap(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := newHolder(t)
 	start := &messenger.CopyState{Zone: "a", Incarnation: 1, Number: 1}
-	g.Expect(h.replace(&parts{list: whole(1)})).To(gomega.Succeed())
+	g.Expect(h.replace(&partStream{list: fullCopyParts(1)})).To(gomega.Succeed())
 	c := budgeter.NewCopier(start, true, func(string, string) {})
-	first := c.Prepare([]*messenger.CopyRow{row("w", "1")})
+	first := c.Prepare([]*messenger.CopyRow{copyRow("w", "1")})
 	c.Commit(first)
-	second := c.Prepare([]*messenger.CopyRow{row("w", "2")})
+	second := c.Prepare([]*messenger.CopyRow{copyRow("w", "2")})
 	c.Commit(second)
-	_, err := h.take(second)
+	_, err := h.applyCommit(second)
 	g.Expect(err).To(gomega.HaveOccurred())
 	for _, r := range []*messenger.CopyRequest{first, first, second} {
-		_, err = h.take(r)
+		_, err = h.applyCommit(r)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 	}
-	changed := budgeter.NewCopier(first.State, true, func(string, string) {}).Prepare([]*messenger.CopyRow{row("w", "9")})
-	_, err = h.take(changed)
+	changed := budgeter.NewCopier(first.State, true, func(string, string) {}).Prepare([]*messenger.CopyRow{copyRow("w", "9")})
+	_, err = h.applyCommit(changed)
 	g.Expect(err).To(gomega.HaveOccurred())
-	_, values := held(t, h)
+	_, values := readHeldCopy(t, h)
 	g.Expect(values).To(gomega.Equal([]string{"w=2"}))
 }
 
-// forgetfulMirror is a mirror whose copy can vanish.
-type forgetfulMirror struct {
+// lossyMirror is a mirror that can lose its copy.
+type lossyMirror struct {
 	messenger.BudgetKeeperClient
 	mirrorLink
 	state *messenger.CopyState
 }
 
-func (*forgetfulMirror) exists() bool                                    { return true }
-func (*forgetfulMirror) mark(context.Context, *messenger.SoloMark) error { return errNotYet }
-func (m *forgetfulMirror) client() messenger.BudgetKeeperClient          { return m }
-func (m *forgetfulMirror) copy(_ context.Context, r *messenger.CopyRequest) error {
+func (*lossyMirror) exists() bool                                    { return true }
+func (*lossyMirror) mark(context.Context, *messenger.SoloMark) error { return errNotDurable }
+func (m *lossyMirror) client() messenger.BudgetKeeperClient          { return m }
+func (m *lossyMirror) copy(_ context.Context, r *messenger.CopyRequest) error {
 	m.state = r.State
 	return nil
 }
 
-func (m *forgetfulMirror) Copy(context.Context, *messenger.CopyRequest, ...grpc.CallOption) (*messenger.CopyReply, error) {
+func (m *lossyMirror) Copy(context.Context, *messenger.CopyRequest, ...grpc.CallOption) (*messenger.CopyReply, error) {
 	return &messenger.CopyReply{State: m.state}, nil
 }
 
-// Symptom: a zone forgets its budget. Sequence: a keeper is idle; its mirror
-// loses its disk and comes back; then the keeper loses its own. Cause: a
-// keeper that notices a lost copy at its next commit only.
+// A keeper that noticed a lost copy only at its next commit could lose the
+// zone's budget: while it is idle its mirror loses its disk and returns, and
+// then the keeper loses its own.
 func TestIdleKeeperNoticesThatItsCopyIsLost(t *testing.T) {
 	g := gomega.NewWithT(t)
 	store := newHolder(t).store
-	m := &forgetfulMirror{}
+	m := &lossyMirror{}
 	l := newVaultLoop("a", store, m, zap.NewNop())
 	g.Expect(l.begin(budgeter.Begin{Incarnation: 1})).To(gomega.Succeed())
-	p := &pairing{loop: l, sender: m, store: store, log: zap.NewNop()}
+	p := &mirrorSync{loop: l, sender: m, store: store, log: zap.NewNop()}
 	m.state = p.state()
 	l.copier.CaughtUp(m.state)
-	p.has = m.state
+	p.lastCopyState = m.state
 	p.verify(t.Context())
 	g.Expect(l.currentMode()).To(gomega.Equal(budgeter.ModePaired))
 	m.state = nil
--- a/keeper/operations.go
+++ b/keeper/operations.go
@@ -7,14 +7,13 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// operationsServer answers operators.
+// operationsServer implements the calls that operators make.
 type operationsServer struct {
 	messenger.UnimplementedOperationsServer
 	keeper *Keeper
 }
 
-// State returns the keeper's account of itself, with the sums of its zone's
-// books.
+// State describes the keeper and the totals of its zone's accounts.
 func (s *operationsServer) State(ctx context.Context, _ *messenger.StateRequest) (*messenger.StateReply, error) {
 	k := s.keeper
 	c, err := k.config.Read(ctx, &messenger.ReadRequest{})
@@ -25,11 +24,11 @@
 		Name: k.self.Name(), Kind: k.self.Kind(), Zone: k.self.Zone(), Life: "ready",
 		ConfigurationVersion: c.Configuration.Version, ConfigurationAgeMs: c.AgeMs, LeaderName: c.LeaderName,
 	}
-	err = k.budget.loop.read(ctx, func(v *budgeter.Vault) { addBooks(out, v, c.Configuration.Workspaces) })
+	err = k.budget.loop.read(ctx, func(v *budgeter.Vault) { sumBooks(out, v, c.Configuration.Workspaces) })
 	return out, err
 }
 
-func addBooks(out *messenger.StateReply, v *budgeter.Vault, workspaces []*messenger.Workspace) {
+func sumBooks(out *messenger.StateReply, v *budgeter.Vault, workspaces []*messenger.Workspace) {
 	for _, w := range workspaces {
 		b := v.Book(w.Name)
 		out.MintedTokens += b.MintedTokens
--- a/keeper/peers.go
+++ b/keeper/peers.go
@@ -12,11 +12,11 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// peerTimeout bounds one call to another process: a cut zone must not hold up
-// the answer of the others.
+// peerTimeout bounds one call to another process, so that a zone behind a
+// network partition does not delay the answers of the others.
 const peerTimeout = 500 * time.Millisecond
 
-// peer is another keeper, or a router of the zone.
+// peer is another keeper, or a router of the same zone.
 type peer struct {
 	process loader.Process
 	conn    *grpc.ClientConn
@@ -34,22 +34,23 @@
 	return messenger.NewRouterPeerClient(p.conn)
 }
 
-// peers are the processes that a keeper calls; immutable.
+// peers holds the processes that a keeper calls. It is immutable.
 type peers struct {
 	self loader.Process
-	// List holds the other keepers in the order of the settings.
-	list []peer
-	// Routers holds the zone's routers.
+	// keepers holds the other keepers in the order of the settings.
+	keepers []peer
+	// routers holds the routers of this zone.
 	routers []peer
-	// Mirror is the name of the next keeper of another zone in the settings,
-	// as a ring; empty where there is none.
+	// mirror is the name of the keeper that mirrors this one: the next in the
+	// settings, taken as a ring, that is of another zone. It is empty if
+	// there is none.
 	mirror string
 }
 
 func newPeers(s *loader.Settings, self loader.Process, d *messenger.Dialer) (*peers, func(), error) {
-	p := &peers{self: self, mirror: mirrorOf(s, self)}
+	p := &peers{self: self, mirror: mirrorName(s, self)}
 	cleanUp := func() {
-		for _, x := range append(p.list, p.routers...) {
+		for _, x := range append(p.keepers, p.routers...) {
 			_ = x.conn.Close()
 		}
 	}
@@ -64,7 +65,7 @@
 			return nil, nil, err
 		}
 		if isKeeper {
-			p.list = append(p.list, peer{process: other, conn: conn})
+			p.keepers = append(p.keepers, peer{process: other, conn: conn})
 		} else {
 			p.routers = append(p.routers, peer{process: other, conn: conn})
 		}
@@ -72,8 +73,9 @@
 	return p, cleanUp, nil
 }
 
-// mirrorOf returns the name of the next keeper of another zone.
-func mirrorOf(s *loader.Settings, self loader.Process) string {
+// mirrorName returns the name of the next keeper in the settings that is of
+// another zone.
+func mirrorName(s *loader.Settings, self loader.Process) string {
 	all := s.Processes(loader.KindKeeper)
 	for i, k := range all {
 		if k.Name() != self.Name() {
@@ -88,9 +90,9 @@
 	return ""
 }
 
-// zone returns the first keeper of a zone.
-func (p *peers) zone(name string) (peer, bool) {
-	for _, x := range p.list {
+// keeperOfZone returns the first keeper of a zone.
+func (p *peers) keeperOfZone(name string) (peer, bool) {
+	for _, x := range p.keepers {
 		if x.process.Zone() == name {
 			return x, true
 		}
@@ -98,8 +100,8 @@
 	return peer{}, false
 }
 
-func (p *peers) name(name string) (peer, bool) {
-	for _, x := range p.list {
+func (p *peers) keeperByName(name string) (peer, bool) {
+	for _, x := range p.keepers {
 		if x.process.Name() == name {
 			return x, true
 		}
@@ -107,11 +109,12 @@
 	return peer{}, false
 }
 
-// markHolders returns the keepers that keep this one's solo marks: the mirror
-// is the one that is lost when a mark is left.
-func (p *peers) markHolders() []peer {
+// soloMarkHolders returns the keepers that may store this keeper's solo
+// marks. The mirror is excluded, because a mark is stored only when the
+// mirror has been lost.
+func (p *peers) soloMarkHolders() []peer {
 	var out []peer
-	for _, x := range p.list {
+	for _, x := range p.keepers {
 		if x.process.Name() != p.mirror {
 			out = append(out, x)
 		}
@@ -119,19 +122,19 @@
 	return out
 }
 
-// routersElsewhere returns the zone's routers on other VMs: one on this VM
-// would be lost together with the disk.
-func (p *peers) routersElsewhere() []peer {
+// routersOnOtherVMs returns the zone's routers on other VMs. A router on this
+// VM would be lost together with the disk.
+func (p *peers) routersOnOtherVMs() []peer {
 	var out []peer
 	for _, x := range p.routers {
-		if host(x.process) != host(p.self) {
+		if hostOf(x.process) != hostOf(p.self) {
 			out = append(out, x)
 		}
 	}
 	return out
 }
 
-func host(p loader.Process) string {
+func hostOf(p loader.Process) string {
 	h, _, err := net.SplitHostPort(p.RPC())
 	if err != nil {
 		return p.RPC()
@@ -139,13 +142,15 @@
 	return h
 }
 
-// each calls f for every other keeper at once, each within peerTimeout, and
-// returns the peers whose call failed.
-func (p *peers) each(ctx context.Context, f func(context.Context, peer) error) []peer {
-	return each(ctx, p.list, f)
+// callKeepers calls f for every other keeper concurrently, each call bounded
+// by peerTimeout, and returns the peers whose call failed.
+func (p *peers) callKeepers(ctx context.Context, f func(context.Context, peer) error) []peer {
+	return callAll(ctx, p.keepers, f)
 }
 
-func each(ctx context.Context, list []peer, f func(context.Context, peer) error) []peer {
+// callAll calls f for every listed peer concurrently, each call bounded by
+// peerTimeout, and returns the peers whose call failed.
+func callAll(ctx context.Context, list []peer, f func(context.Context, peer) error) []peer {
 	var wg sync.WaitGroup
 	failed := make([]bool, len(list))
 	for i, x := range list {
@@ -165,14 +170,15 @@
 	return out
 }
 
-// firstOf calls f for every peer at once and returns nil as soon as one call
-// succeeds, or the last error.
-func firstOf(ctx context.Context, list []peer, f func(context.Context, peer) error) error {
+// firstSuccess calls f for every peer concurrently. It returns nil as soon as
+// one call succeeds, otherwise the last error, or errNotDurable for an empty
+// list.
+func firstSuccess(ctx context.Context, list []peer, f func(context.Context, peer) error) error {
 	results := make(chan error, len(list))
 	for _, x := range list {
 		go func() { results <- f(ctx, x) }()
 	}
-	var err error = errNotYet
+	var err error = errNotDurable
 	for range list {
 		last := <-results
 		if last == nil {
--- a/keeper/placement.go
+++ b/keeper/placement.go
@@ -12,35 +12,38 @@
 )
 
 const (
-	// placeEvery is the pause between exchanges of shares.
-	placeEvery = time.Second
-	// exchangeMost bounds the workspaces of one exchange; with more active
-	// ones each gets its turn later.
-	exchangeMost = 500
+	// placementInterval is the pause between exchanges of shares.
+	placementInterval = time.Second
+	// maxExchangeWorkspaces bounds the workspaces in one exchange. If more
+	// are active, they take turns.
+	maxExchangeWorkspaces = 500
 )
 
-// placement moves rights ahead of need.
+// placement moves rights between zones before they are needed.
 type placement struct {
 	server *budgetServer
 	placer placer.Placer
-	// Next is where the next round goes on in the active workspaces.
+	// next is the index among the active workspaces where the last round
+	// stopped.
 	next int
-	// Incarnations holds the other vaults' as last heard, by zone.
+	// incarnations maps zones to the vault incarnation that they last
+	// reported.
 	incarnations map[string]uint64
 }
 
-// place exchanges shares with the other zones and gives what the placer plans.
-func (s *budgetServer) place(ctx context.Context) {
+// runPlacement periodically exchanges shares with the other zones and
+// transfers the rights that the placer plans to move.
+func (s *budgetServer) runPlacement(ctx context.Context) {
 	p, _ := placer.New(s.keeper.settings.Policy().Placement())
 	l := &placement{server: s, placer: p, incarnations: map[string]uint64{}}
 	for ctx.Err() == nil {
 		l.round(ctx)
-		pause(ctx, placeEvery)
+		sleep(ctx, placementInterval)
 	}
 }
 
 func (l *placement) round(ctx context.Context) {
-	names := l.turn(l.server.shares.active(time.Now()))
+	names := l.nextWorkspaces(l.server.shares.sampleActive(time.Now()))
 	if len(names) == 0 || l.server.loop.currentMode() != budgeter.ModePaired {
 		return
 	}
@@ -50,32 +53,33 @@
 	}
 }
 
-// turn returns the workspaces of this round.
-func (l *placement) turn(names []string) []string {
-	if len(names) <= exchangeMost {
+// nextWorkspaces returns the workspaces of this round.
+func (l *placement) nextWorkspaces(names []string) []string {
+	if len(names) <= maxExchangeWorkspaces {
 		return names
 	}
 	var out []string
-	for range exchangeMost {
+	for range maxExchangeWorkspaces {
 		l.next = (l.next + 1) % len(names)
 		out = append(out, names[l.next])
 	}
 	return out
 }
 
+// exchange sends this zone's shares to the other zones and records theirs.
 func (l *placement) exchange(ctx context.Context, names []string) {
 	own, err := l.server.ownShares(ctx, names)
 	if err != nil {
 		return
 	}
 	r := &messenger.ExchangeRequest{Zone: l.server.keeper.self.Zone(), Shares: own}
-	peers := l.server.keeper.peers.list
+	peers := l.server.keeper.peers.keepers
 	replies := make([]*messenger.ExchangeReply, len(peers))
 	index := map[string]int{}
 	for i, p := range peers {
 		index[p.process.Name()] = i
 	}
-	each(ctx, peers, func(ctx context.Context, p peer) error {
+	callAll(ctx, peers, func(ctx context.Context, p peer) error {
 		out, err := p.budget().Exchange(ctx, r)
 		replies[index[p.process.Name()]] = out
 		return err
@@ -88,12 +92,12 @@
 		zone := peers[i].process.Zone()
 		l.incarnations[zone] = out.VaultIncarnation
 		for _, x := range out.Shares {
-			l.server.shares.heard(zone, x, now)
+			l.server.shares.recordShare(zone, x, now)
 		}
 	}
 }
 
-// ownShares returns this zone's shares and demand.
+// ownShares returns this zone's unspent rights and demand for each workspace.
 func (s *budgetServer) ownShares(ctx context.Context, names []string) ([]*messenger.Share, error) {
 	out := make([]*messenger.Share, 0, len(names))
 	err := s.loop.read(ctx, func(v *budgeter.Vault) {
@@ -102,7 +106,7 @@
 		}
 	})
 	if err != nil {
-		// The loop may still be at it: out is not ours to read.
+		// The loop may still be writing to out after a failed read.
 		return nil, err
 	}
 	for _, x := range out {
@@ -111,6 +115,7 @@
 	return out, nil
 }
 
+// plan runs the placer for one workspace and transfers what it decides.
 func (l *placement) plan(ctx context.Context, workspace string) {
 	now := time.Now()
 	zone := l.server.keeper.self.Zone()
@@ -119,10 +124,10 @@
 		Demand: map[string]float64{zone: l.server.shares.ownDemand(workspace)},
 		Shares: map[string]rattanhoist.Tokens{}, Age: map[string]time.Duration{},
 	}
-	for z, x := range l.server.shares.others(workspace) {
+	for z, x := range l.server.shares.otherZones(workspace) {
 		view.Demand[z] = x.demand
 		view.Shares[z] = rattanhoist.Tokens(x.unspent)
-		view.Age[z] = now.Sub(x.heard)
+		view.Age[z] = now.Sub(x.heardAt)
 	}
 	err := l.server.loop.read(ctx, func(v *budgeter.Vault) {
 		view.Unspent = rattanhoist.Tokens(v.Unspent(workspace))
@@ -134,19 +139,20 @@
 		return
 	}
 	for _, m := range l.placer.Plan(view) {
-		l.move(ctx, workspace, m)
+		l.transfer(ctx, workspace, m)
 	}
 }
 
-func (l *placement) move(ctx context.Context, workspace string, m placer.Move) {
-	p, ok := l.server.keeper.peers.zone(m.Zone)
+// transfer moves rights of a workspace to another zone.
+func (l *placement) transfer(ctx context.Context, workspace string, m placer.Move) {
+	p, ok := l.server.keeper.peers.keeperOfZone(m.Zone)
 	if !ok {
 		return
 	}
-	out, err := answer[*messenger.AskReply](l.server.loop.handle(ctx, budgeter.Ask{Request: &messenger.AskRequest{
+	out, err := grpcReply[*messenger.AskReply](l.server.loop.handle(ctx, budgeter.Ask{Request: &messenger.AskRequest{
 		Workspace: workspace, Zone: m.Zone, WantTokens: int64(m.Tokens), VaultIncarnation: l.incarnations[m.Zone],
 	}}))
 	if err == nil && out.Transfer != nil {
-		l.server.give(ctx, p, &messenger.GiveRequest{Transfers: []*messenger.Transfer{out.Transfer}})
+		l.server.sendTransfers(ctx, p, &messenger.GiveRequest{Transfers: []*messenger.Transfer{out.Transfer}})
 	}
 }
--- a/keeper/prune.go
+++ b/keeper/prune.go
@@ -14,56 +14,57 @@
 )
 
 const (
-	// pruneEvery is the pause between rounds that find nothing.
-	pruneEvery = 15 * time.Second
-	// sweepsInRetention is how often the rows are looked through while they
-	// are kept: more often reads more, less often keeps bills for longer.
-	sweepsInRetention = 48
-	// sweepMost bounds the rows that one round reads of a bucket.
-	sweepMost = 512
+	// pruneInterval is the longest pause between rounds while no sweep is
+	// active.
+	pruneInterval = 15 * time.Second
+	// sweepsPerRetention is how often the rows are scanned within one
+	// retention period. More scans cost more reads, fewer keep bills longer.
+	sweepsPerRetention = 48
+	// maxSweepRows bounds the rows that one round reads from a bucket.
+	maxSweepRows = 512
 )
 
-// pruning deletes old bills and claims, a few in each round. It belongs to the
-// goroutine of rounds.
-type pruning struct {
+// pruner deletes old bills and claims, a few per round. It is used only by
+// the goroutine of runMaintenance.
+type pruner struct {
 	server    *budgetServer
 	retention time.Duration
-	every     time.Duration
-	at        time.Time
+	interval  time.Duration
+	lastRun   time.Time
 	charges   sweep
 	claims    sweep
 }
 
-func newPruning(s *budgetServer, retention time.Duration) *pruning {
-	return &pruning{
-		server: s, retention: retention, every: min(pruneEvery, retention/sweepsInRetention), at: time.Now(),
+func newPruner(s *budgetServer, retention time.Duration) *pruner {
+	return &pruner{
+		server: s, retention: retention, interval: min(pruneInterval, retention/sweepsPerRetention), lastRun: time.Now(),
 		charges: sweep{bucket: budgeter.BucketCharges, time: chargeTime},
 		claims:  sweep{bucket: budgeter.BucketClaimed, time: claimTime},
 	}
 }
 
-// round tells the zones what is settled here and has the vault prune. What was
-// read is on two disks before anything follows from it.
-func (p *pruning) round(ctx context.Context) {
+// round announces to all zones which bills are settled here and has the vault
+// prune old rows. What it reads is on two disks before it acts on it.
+func (p *pruner) round(ctx context.Context) {
 	now := time.Now()
-	due := now.Sub(p.at) >= p.every
+	due := now.Sub(p.lastRun) >= p.interval
 	if !due && !p.charges.active && !p.claims.active {
 		return
 	}
 	oldest, unsettled, err := p.server.settledBefore(ctx)
-	if err != nil || !p.server.loop.copied(ctx) {
+	if err != nil || !p.server.loop.mirrorUpToDate(ctx) {
 		return
 	}
 	settled := min(oldest, unsettled)
 	if due {
-		p.at = now
-		p.server.tellSettled(ctx, settled)
-		pause := p.retention.Milliseconds() / sweepsInRetention
-		p.charges.begin(settled-p.retention.Milliseconds(), pause)
-		p.claims.begin(now.Add(-p.retention).UnixMilli(), pause)
+		p.lastRun = now
+		p.server.announceSettled(ctx, settled)
+		minAdvance := p.retention.Milliseconds() / sweepsPerRetention
+		p.charges.begin(settled-p.retention.Milliseconds(), minAdvance)
+		p.claims.begin(now.Add(-p.retention).UnixMilli(), minAdvance)
 	}
 	e := budgeter.Prune{
-		Retention: p.retention, Heard: p.server.watch.said, OldestChargeMs: oldest, UnsettledMs: unsettled,
+		Retention: p.retention, Heard: p.server.monitor.reports, OldestChargeMs: oldest, UnsettledMs: unsettled,
 		Zones: p.server.keeper.settings.Zones(),
 	}
 	err = p.server.keeper.store.View(func(v storer.View) error {
@@ -75,9 +76,9 @@
 	}
 }
 
-// settledBefore returns the time before which the vault takes no charge, and
-// that of the oldest bill whose claim is not settled. The order matters: bills
-// made in between are not older than the first.
+// settledBefore returns the time before which the vault accepts no charge,
+// and the time of the oldest bill whose claim is not settled. The first is
+// read first, so that bills made between the two reads are not older than it.
 func (s *budgetServer) settledBefore(ctx context.Context) (oldest, unsettled int64, err error) {
 	oldest, err = readVault(ctx, s.loop, (*budgeter.Vault).OldestChargeMs)
 	if err != nil {
@@ -87,55 +88,56 @@
 	err = s.keeper.store.View(func(v storer.View) error {
 		return v.From(budgeter.BucketUnclaimed, "", func(key string, _ []byte) error {
 			unsettled = budgeter.UnsettledMs(key)
-			return errEnough
+			return errStopIteration
 		})
 	})
-	if errors.Is(err, errEnough) {
+	if errors.Is(err, errStopIteration) {
 		err = nil
 	}
 	return oldest, unsettled, err
 }
 
-// tellSettled lets the zones forget claims that no bill here can ask for.
-func (s *budgetServer) tellSettled(ctx context.Context, settled int64) {
+// announceSettled lets all zones drop claims that no bill of this zone can
+// refer to any more.
+func (s *budgetServer) announceSettled(ctx context.Context, settled int64) {
 	r := &messenger.ClaimBillsRequest{Zone: s.keeper.self.Zone(), SettledBeforeMs: settled}
 	_, _ = s.ClaimBills(ctx, r)
-	s.keeper.peers.each(ctx, func(ctx context.Context, p peer) error {
+	s.keeper.peers.callKeepers(ctx, func(ctx context.Context, p peer) error {
 		_, err := p.budget().ClaimBills(ctx, r)
 		return err
 	})
 }
 
-// sweep goes through a bucket in the order of its keys, for rows from before a
-// time.
+// sweep scans a bucket in key order for rows that are older than a limit.
 type sweep struct {
 	bucket string
-	// Time returns that of a row in Unix milliseconds.
+	// time returns the time of a row in Unix milliseconds.
 	time   func([]byte) (int64, error)
 	active bool
 	next   string
-	// Limit is the time in Unix milliseconds before which rows are wanted.
+	// limit is the time in Unix milliseconds before which rows are returned.
 	limit int64
 }
 
-// begin starts anew where a pause would find more than the last sweep.
-func (s *sweep) begin(limit, pause int64) {
-	if !s.active && limit >= s.limit+pause {
+// begin starts a new scan, unless one is active or the limit has advanced by
+// less than minAdvance, in milliseconds, since the last.
+func (s *sweep) begin(limit, minAdvance int64) {
+	if !s.active && limit >= s.limit+minAdvance {
 		s.active, s.next, s.limit = true, "", limit
 	}
 }
 
-// read returns the keys of old rows among the next ones. A row that can't be
-// read is left to the vault, which reports it where it matters.
+// read returns the keys of the old rows among the next ones. A row that can't
+// be decoded is skipped: the vault reports it where it is used.
 func (s *sweep) read(v storer.View) (old []string) {
 	if !s.active {
 		return nil
 	}
 	n := 0
 	err := v.From(s.bucket, s.next, func(key string, value []byte) error {
-		if n == sweepMost || len(old) == budgeter.PruneMost {
+		if n == maxSweepRows || len(old) == budgeter.PruneMost {
 			s.next = key
-			return errEnough
+			return errStopIteration
 		}
 		n++
 		if ms, err := s.time(value); err == nil && ms < s.limit {
@@ -143,7 +145,7 @@
 		}
 		return nil
 	})
-	s.active = errors.Is(err, errEnough)
+	s.active = errors.Is(err, errStopIteration)
 	return old
 }
 
--- a/keeper/prune_process_test.go
+++ b/keeper/prune_process_test.go
@@ -12,14 +12,15 @@
 	"rattanhoist.example/rattanhoist/launcher"
 )
 
-// pruned sums what a history still lists singly and what it lists by days.
+// pruned returns how much a charge history lists as single bills and how much
+// as daily sums.
 func (f *fleet) pruned() (single int, summed int64) {
 	var r struct {
 		Charges []any
 		Pruned  []struct{ Tokens string }
 	}
 	out, _ := f.Command("budget", "history", "w", "-o", "json")
-	// A zone that is out of reach is warned of before.
+	// Warnings about unreachable zones precede the JSON.
 	_, out, _ = strings.Cut("\n"+out, "\n{")
 	if json.Unmarshal([]byte("{"+out), &r) != nil {
 		return -1, 0
@@ -32,11 +33,12 @@
 	return len(r.Charges), summed
 }
 
-// Symptom: a keeper's disk fills with bills, or a bill that is pruned takes its
-// tokens with it. Sequence: requests, more than the retention, a killed keeper
-// and a lost disk, which the mirror's pruned copy replaces.
+// Bills must not fill a keeper's disk, and pruning must not lose the tokens
+// of a bill. Requests are followed by more than the retention period, a
+// killed keeper and a lost disk, which is restored from the mirror's pruned
+// copy.
 func TestOldBillsArePrunedToTheirSums(t *testing.T) {
-	f := startWith(t, launcher.Options{Net: 58, Policy: "default_timeout = 1s\nmax_timeout = 1s\nkeep_answer = 100ms\nkeep_charges = 4400ms"})
+	f := startFleetWith(t, launcher.Options{Net: 58, Policy: "default_timeout = 1s\nmax_timeout = 1s\nkeep_answer = 100ms\nkeep_charges = 4400ms"})
 	f.timeout = time.Second
 	f.topUp(zoneA+"/1", 3000)
 	charged := f.mustCall(routerA1) + f.mustCall(routerA2) + f.mustCall(zoneB+"-1")
--- a/keeper/restart_test.go
+++ b/keeper/restart_test.go
@@ -17,15 +17,16 @@
 	"rattanhoist.example/rattanhoist/storer"
 )
 
-// Restarts of one vault, and the most events between two.
+// Number of restarts of one vault, maximum number of events between two, and
+// number of restarts after which a router is replaced.
 const (
 	restartsOfVault   = 400
 	eventsPerRestart  = 6
 	restartsPerRouter = 9
 )
 
-// How the keeper ends: it closes its store, is killed between two commits,
-// before the sync of one, after it, or after the mirror's too.
+// Ways for the keeper to end: it closes its store, or it is killed between two
+// commits, before the sync of a commit, after that sync, or after the mirror's.
 const (
 	endClosed = iota
 	endKilled
@@ -35,38 +36,40 @@
 	endKinds
 )
 
-// holderLink is a mirror in the same process, on a store of its own.
-type holderLink struct {
-	*mirrorHolder
-	// Lost commits do not reach it.
-	lost bool
+// localMirror is a mirror in the same process, with a store of its own.
+type localMirror struct {
+	*copyStore
+	// dropCommits makes the mirror miss the commits sent to it.
+	dropCommits bool
 }
 
-func (*holderLink) exists() bool                                    { return true }
-func (*holderLink) mark(context.Context, *messenger.SoloMark) error { return errNotYet }
-func (m *holderLink) copy(_ context.Context, r *messenger.CopyRequest) error {
-	if m.lost {
-		return errBroken
+func (*localMirror) exists() bool                                    { return true }
+func (*localMirror) mark(context.Context, *messenger.SoloMark) error { return errNotDurable }
+func (m *localMirror) copy(_ context.Context, r *messenger.CopyRequest) error {
+	if m.dropCommits {
+		return errConnectionBroken
 	}
-	_, err := m.take(r)
+	_, err := m.applyCommit(r)
 	return err
 }
 
-// sent is an event with what its answer must say, the first time and again.
-type sent struct {
+// sentEvent is an event with a check of its reply, for the first time it is
+// sent and for repetitions.
+type sentEvent struct {
 	event budgeter.Event
 	check func(x budgeter.Reply, again bool)
 }
 
-// holder is a router's lease as its side knows it.
-type holder struct {
+// leaseHolder is a router's lease as the router knows it.
+type leaseHolder struct {
 	workspace, router     string
 	incarnation, sequence uint64
 	held                  int64
 }
 
-// restarted is a vault on a real store, its mirror, and the flat book.
-type restarted struct {
+// restartHarness holds a vault on a real store, its mirror, and a plain model
+// of the accounts in books.
+type restartHarness struct {
 	t      *testing.T
 	g      *gomega.WithT
 	rand   *rand.Rand
@@ -74,24 +77,24 @@
 	store  *storer.Store
 	closes func() error
 	loop   *vaultLoop
-	mirror *holderLink
+	mirror *localMirror
 
 	books   map[string]*messenger.Book
-	holders []*holder
-	// TopUps and charges map identities to their first amounts.
+	holders []*leaseHolder
+	// topUps and charges map ids to their first amounts.
 	topUps, charges map[string]int64
-	// Ids are the keys of charges, in order.
+	// ids holds the keys of charges, in order.
 	ids []string
 }
 
-// open starts the keeper's vault on its folder, as keeper.open does, and pairs
-// it with the mirror.
-func (r *restarted) open() {
+// open starts the keeper's vault from its folder, as budgetServer.openVault
+// does, and pairs it with the mirror.
+func (r *restartHarness) open() {
 	var err error
 	r.store, r.closes, err = storer.Open(r.dir)
 	r.g.Expect(err).NotTo(gomega.HaveOccurred())
 	r.loop = newVaultLoop("a", r.store, r.mirror, zap.NewNop())
-	begun, err := r.loop.begun()
+	begun, err := r.loop.initialized()
 	r.g.Expect(err).NotTo(gomega.HaveOccurred())
 	if !begun {
 		r.g.Expect(r.loop.begin(budgeter.Begin{Incarnation: 1})).To(gomega.Succeed())
@@ -101,15 +104,15 @@
 	r.g.Expect(r.loop.start()).To(gomega.Succeed())
 }
 
-// pair brings the mirror up to date by whole copies: the log of commits is
-// gone with each restart.
-func (r *restarted) pair() {
-	state, _, err := r.mirror.head("a")
+// pair brings the mirror up to date by full copies, because the commits kept
+// in memory are lost with each restart.
+func (r *restartHarness) pair() {
+	state, _, err := r.mirror.readState("a")
 	r.g.Expect(err).NotTo(gomega.HaveOccurred())
 	if !proto.Equal(state, r.loop.copier.State()) {
-		p := &parts{}
+		p := &partStream{}
 		r.g.Expect(r.store.View(func(v storer.View) error {
-			return sendRows(v, bucketCommit, keyState, vaultRows, func(m *messenger.CopyPart) error {
+			return sendRows(v, bucketCommit, keyState, eachVaultRow, func(m *messenger.CopyPart) error {
 				p.list = append(p.list, proto.CloneOf(m))
 				return nil
 			})
@@ -121,8 +124,9 @@
 	r.g.Expect(r.loop.copier.CaughtUp(r.loop.copier.State())).To(gomega.BeTrue())
 }
 
-// crash goes on with the bytes that the file has now, without closing it.
-func (r *restarted) crash() {
+// crash continues with the present bytes of the store's file, without closing
+// it.
+func (r *restartHarness) crash() {
 	b, err := os.ReadFile(filepath.Join(r.dir, "rattanhoist.db"))
 	r.g.Expect(err).NotTo(gomega.HaveOccurred())
 	next := r.t.TempDir()
@@ -132,11 +136,11 @@
 	r.dir = next
 }
 
-// commit has the vault answer a batch.
-func (r *restarted) commit(batch []sent, again bool) {
-	calls := make([]call, len(batch))
+// commit has the vault process a batch and checks the replies.
+func (r *restartHarness) commit(batch []sentEvent, again bool) {
+	calls := make([]vaultCall, len(batch))
 	for i, s := range batch {
-		calls[i] = call{event: s.event, done: make(chan budgeter.Reply, 1)}
+		calls[i] = vaultCall{event: s.event, done: make(chan budgeter.Reply, 1)}
 	}
 	r.g.Expect(r.loop.commit(r.t.Context(), calls)).To(gomega.Succeed())
 	for i, s := range batch {
@@ -144,8 +148,8 @@
 	}
 }
 
-// draw makes a batch and enters it into the flat book.
-func (r *restarted) draw() (batch []sent) {
+// randomBatch makes a random batch and applies it to the model.
+func (r *restartHarness) randomBatch() (batch []sentEvent) {
 	for range 1 + r.rand.IntN(eventsPerRestart) {
 		h := r.holders[r.rand.IntN(len(r.holders))]
 		b := r.books[h.workspace]
@@ -157,13 +161,13 @@
 		case kind == 2:
 			batch = append(batch, r.charge(h, b))
 		default:
-			batch = append(batch, r.giveBack(h, b))
+			batch = append(batch, r.returnRights(h, b))
 		}
 	}
 	return batch
 }
 
-func (r *restarted) topUp(b *messenger.Book) sent {
+func (r *restartHarness) topUp(b *messenger.Book) sentEvent {
 	id := fmt.Sprintf("a/%s-%d", b.Workspace, r.rand.IntN(len(r.topUps)+2))
 	n, known := r.topUps[id]
 	if !known {
@@ -172,13 +176,13 @@
 		b.MintedTokens += n
 		b.UnspentTokens += n
 	}
-	return sent{
+	return sentEvent{
 		event: budgeter.Mint{Request: &messenger.TopUpRequest{Workspace: b.Workspace, TopUpId: id, Tokens: n}},
 		check: func(x budgeter.Reply, _ bool) { r.g.Expect(x.Err).NotTo(gomega.HaveOccurred(), id) },
 	}
 }
 
-func (r *restarted) lease(h *holder, b *messenger.Book) sent {
+func (r *restartHarness) lease(h *leaseHolder, b *messenger.Book) sentEvent {
 	h.sequence++
 	want := r.rand.Int64N(400)
 	grant := min(want, b.UnspentTokens)
@@ -186,7 +190,7 @@
 	b.LeasedTokens += grant
 	h.held += grant
 	sequence := h.sequence
-	return sent{
+	return sentEvent{
 		event: budgeter.Lease{Request: &messenger.LeaseRequest{
 			Workspace: h.workspace, Router: h.router, Incarnation: h.incarnation, Sequence: sequence, WantTokens: want,
 		}},
@@ -200,9 +204,9 @@
 	}
 }
 
-// charge bills a new request, or one that may have been billed hundreds of
-// restarts ago, then with another price.
-func (r *restarted) charge(h *holder, b *messenger.Book) sent {
+// charge bills a new request, or repeats one that may have been billed
+// hundreds of restarts ago, then at another price.
+func (r *restartHarness) charge(h *leaseHolder, b *messenger.Book) sentEvent {
 	tokens := r.rand.Int64N(h.held + 1)
 	id := fmt.Sprintf("request-%d", r.rand.IntN(2*len(r.ids)+2))
 	key := b.Workspace + "/" + id
@@ -215,7 +219,7 @@
 		b.LeasedTokens -= tokens
 		b.ChargedTokens += tokens
 	}
-	return sent{
+	return sentEvent{
 		event: budgeter.Bill{Request: &messenger.ChargeRequest{Router: h.router, Incarnation: h.incarnation, Charges: []*messenger.Charge{
 			{Workspace: h.workspace, RequestId: id, Tokens: tokens},
 		}}},
@@ -228,13 +232,13 @@
 	}
 }
 
-func (r *restarted) giveBack(h *holder, b *messenger.Book) sent {
+func (r *restartHarness) returnRights(h *leaseHolder, b *messenger.Book) sentEvent {
 	h.sequence++
 	n := r.rand.Int64N(h.held + 1)
 	h.held -= n
 	b.LeasedTokens -= n
 	b.UnspentTokens += n
-	return sent{
+	return sentEvent{
 		event: budgeter.Return{Request: &messenger.ReturnRequest{
 			Workspace: h.workspace, Router: h.router, Incarnation: h.incarnation, Sequence: h.sequence, Tokens: n,
 		}},
@@ -242,9 +246,9 @@
 	}
 }
 
-// newRouter has a router come back under a new incarnation: the old one's
-// remainder returns.
-func (r *restarted) newRouter(name string) {
+// newRouter registers a new incarnation of a router, upon which the remaining
+// rights of the old one return.
+func (r *restartHarness) newRouter(name string) {
 	var old uint64
 	for _, h := range r.holders {
 		if h.router != name {
@@ -258,14 +262,14 @@
 		h.incarnation++
 	}
 	good := func(x budgeter.Reply, _ bool) { r.g.Expect(x.Err).NotTo(gomega.HaveOccurred()) }
-	r.commit([]sent{
+	r.commit([]sentEvent{
 		{budgeter.Register{Request: &messenger.RegisterRequest{Router: name, Incarnation: old + 1}}, good},
 		{budgeter.Release{Router: name, Incarnation: old, Witness: &messenger.FenceWitnessReply{}}, good},
 	}, false)
 }
 
-// expectBooks compares every account with the flat book.
-func (r *restarted) expectBooks(when string, books map[string]*messenger.Book) {
+// expectBooks compares every account with the model.
+func (r *restartHarness) expectBooks(when string, books map[string]*messenger.Book) {
 	for name, want := range books {
 		got := r.loop.vault.Book(name)
 		r.g.Expect(proto.Equal(got, want)).To(gomega.BeTrue(), "%s: %v, want %v", when, got, want)
@@ -273,7 +277,7 @@
 	}
 }
 
-func (r *restarted) snapshot() map[string]*messenger.Book {
+func (r *restartHarness) snapshot() map[string]*messenger.Book {
 	out := map[string]*messenger.Book{}
 	for k, b := range r.books {
 		out[k] = proto.CloneOf(b)
@@ -281,9 +285,10 @@
 	return out
 }
 
-// end brings the keeper to its end during a batch and starts it again. The
-// books are then those of before the batch or after it, nothing else.
-func (r *restarted) end(kind int, batch []sent, before map[string]*messenger.Book) {
+// stopAndRestart stops the keeper during a batch in the given way and
+// restarts it. The accounts must then be exactly those before the batch or
+// those after it.
+func (r *restartHarness) stopAndRestart(kind int, batch []sentEvent, before map[string]*messenger.Book) {
 	want := r.books
 	switch kind {
 	case endClosed, endKilled:
@@ -294,14 +299,14 @@
 			r.loop.step(s.event)
 		}
 	case endBeforeMirror, endBeforeAnswer:
-		r.mirror.lost = kind == endBeforeMirror
+		r.mirror.dropCommits = kind == endBeforeMirror
 		var rows []budgeter.Write
 		for _, s := range batch {
 			w, _ := r.loop.step(s.event)
 			rows = append(rows, w...)
 		}
 		r.g.Expect(r.loop.sync(r.t.Context(), budgeter.CopyRows(rows))).To(gomega.Succeed())
-		r.mirror.lost = false
+		r.mirror.dropCommits = false
 	}
 	if kind == endClosed {
 		r.g.Expect(r.closes()).To(gomega.Succeed())
@@ -313,25 +318,23 @@
 	r.pair()
 }
 
-// TestBooksHoldOverHundredsOfRestarts
-// Symptom: a budget is spent beyond what was paid, a request is billed twice
-// or rights are gone, after a keeper has been restarted many times.
-// Sequence: top-ups, leases, charges, returns and new incarnations of routers,
-// old charges and top-ups resent; the keeper ends in one of five ways and
-// starts again from the bytes of its file, 400 times; what was not answered,
-// and sometimes what was, is sent again.
-// Cause it guards against: a row that is written late, not at all, or taken
-// in by a start otherwise than it was left.
+// Restarting a keeper many times must not let a budget be overspent, a
+// request be billed twice or rights be lost. These happen if a row is written
+// late or not at all, or is restored differently from how it was stored.
+// Random top-ups, leases, charges, returns, new router incarnations and
+// resends of old charges and top-ups run against a vault that ends in one of
+// five ways and restarts from the bytes of its file, 400 times. Unanswered
+// events, and sometimes answered ones, are sent again.
 func TestBooksHoldOverHundredsOfRestarts(t *testing.T) {
-	r := &restarted{
+	r := &restartHarness{
 		t: t, g: gomega.NewWithT(t), rand: rand.New(rand.NewPCG(7, 1)), dir: t.TempDir(),
-		mirror: &holderLink{mirrorHolder: newHolder(t)},
+		mirror: &localMirror{copyStore: newHolder(t)},
 		books:  map[string]*messenger.Book{}, topUps: map[string]int64{}, charges: map[string]int64{},
 	}
 	for _, w := range []string{"labone", "tesano", "dzorwulu"} {
 		r.books[w] = &messenger.Book{Workspace: w, Zone: "a"}
 		for _, name := range []string{"a-1", "a-2"} {
-			r.holders = append(r.holders, &holder{workspace: w, router: name, incarnation: 1})
+			r.holders = append(r.holders, &leaseHolder{workspace: w, router: name, incarnation: 1})
 		}
 	}
 	r.open()
@@ -339,10 +342,10 @@
 	kinds := [endKinds]int{}
 	for i := range restartsOfVault {
 		before := r.snapshot()
-		batch := r.draw()
+		batch := r.randomBatch()
 		kind := r.rand.IntN(endKinds)
 		kinds[kind]++
-		r.end(kind, batch, before)
+		r.stopAndRestart(kind, batch, before)
 		if kind > endKilled || r.rand.IntN(2) == 0 {
 			r.commit(batch, kind != endBeforeSync)
 			r.expectBooks("after a resend", r.books)
--- a/keeper/vault_counters.go
+++ b/keeper/vault_counters.go
@@ -8,51 +8,52 @@
 	"rattanhoist.example/rattanhoist/budgeter"
 )
 
-// gaugeEvery is the pause between updates of the gauges.
-const gaugeEvery = time.Second
+// gaugeInterval is the pause between updates of the gauges.
+const gaugeInterval = time.Second
 
 var (
-	vaultVars       = expvar.NewMap("budget_vault")
-	countCommits    = vaultInt("commits")
-	countEvents     = vaultInt("events")
-	countRows       = vaultInt("rows")
-	countMirrored   = vaultInt("mirrored_bytes")
-	countAtRisk     = vaultInt("commits_on_one_disk")
-	countRefused    = vaultInt("not_durable_now")
-	countDuplicates = vaultInt("reversed_duplicates")
-	gaugeMinted     = vaultInt("minted_tokens")
-	gaugeUnspent    = vaultInt("unspent_tokens")
-	gaugeLeased     = vaultInt("leased_tokens")
-	gaugeCharged    = vaultInt("charged_tokens")
-	gaugeFrozen     = vaultInt("frozen_tokens")
-	gaugeWithheld   = vaultInt("withheld_tokens")
-	gaugeUnproved   = vaultInt("unproved")
-	gaugeTransfers  = vaultInt("transfers_under_way")
-	gaugeFencing    = vaultInt("routers_being_fenced")
-	gaugeWitnessed  = vaultInt("charges_witnessed")
-	gaugeOldest     = vaultInt("oldest_charge_ms")
-	gaugePruned     = vaultInt("charges_pruned")
-	gaugeForgotten  = vaultInt("claims_pruned")
-	textMode        = new(expvar.String)
+	vaultVars          = expvar.NewMap("budget_vault")
+	countCommits       = newVaultInt("commits")
+	countEvents        = newVaultInt("events")
+	countRows          = newVaultInt("rows")
+	countMirrored      = newVaultInt("mirrored_bytes")
+	countAtRisk        = newVaultInt("commits_on_one_disk")
+	countRefused       = newVaultInt("not_durable_now")
+	countDuplicates    = newVaultInt("reversed_duplicates")
+	gaugeMinted        = newVaultInt("minted_tokens")
+	gaugeUnspent       = newVaultInt("unspent_tokens")
+	gaugeLeased        = newVaultInt("leased_tokens")
+	gaugeCharged       = newVaultInt("charged_tokens")
+	gaugeFrozen        = newVaultInt("frozen_tokens")
+	gaugeWithheld      = newVaultInt("withheld_tokens")
+	gaugeUnproved      = newVaultInt("unproved")
+	gaugeTransfers     = newVaultInt("transfers_under_way")
+	gaugeFencing       = newVaultInt("routers_being_fenced")
+	gaugeWitnessed     = newVaultInt("charges_witnessed")
+	gaugeOldestCharge  = newVaultInt("oldest_charge_ms")
+	gaugePrunedCharges = newVaultInt("charges_pruned")
+	gaugePrunedClaims  = newVaultInt("claims_pruned")
+	modeVar            = new(expvar.String)
 )
 
-func init() { vaultVars.Set("mode", textMode) }
+func init() { vaultVars.Set("mode", modeVar) }
 
-func vaultInt(name string) *expvar.Int {
+func newVaultInt(name string) *expvar.Int {
 	v := new(expvar.Int)
 	vaultVars.Set(name, v)
 	return v
 }
 
-// gauges updates the sums over all workspaces.
-func (s *budgetServer) gauges(ctx context.Context) {
+// updateGauges periodically sets the gauges to the totals over all
+// workspaces.
+func (s *budgetServer) updateGauges(ctx context.Context) {
 	for ctx.Err() == nil {
-		_ = s.loop.read(ctx, setGauges)
-		pause(ctx, gaugeEvery)
+		_ = s.loop.read(ctx, setTotals)
+		sleep(ctx, gaugeInterval)
 	}
 }
 
-func setGauges(v *budgeter.Vault) {
+func setTotals(v *budgeter.Vault) {
 	t := v.Totals()
 	charges, claims := v.Pruned()
 	for _, x := range []struct {
@@ -68,16 +69,16 @@
 		{gaugeTransfers, int64(len(v.Pending()))},
 		{gaugeFencing, int64(len(v.Fencing()))},
 		{gaugeWitnessed, int64(v.WitnessedCount())},
-		{gaugeUnproved, unproved(v)},
-		{gaugeOldest, v.OldestChargeMs()},
-		{gaugePruned, charges},
-		{gaugeForgotten, claims},
+		{gaugeUnproved, unprovedGauge(v)},
+		{gaugeOldestCharge, v.OldestChargeMs()},
+		{gaugePrunedCharges, charges},
+		{gaugePrunedClaims, claims},
 	} {
 		x.gauge.Set(x.value)
 	}
 }
 
-func unproved(v *budgeter.Vault) int64 {
+func unprovedGauge(v *budgeter.Vault) int64 {
 	if v.Unproved() {
 		return 1
 	}
--- a/keeper/vault_lease.go
+++ b/keeper/vault_lease.go
@@ -9,38 +9,42 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Lease grants rights to a router. Where the zone holds too few, it recalls
-// unreserved rights from the zone's other routers and asks the other zones
-// first, so that a refusal tells what is spent from what is out of reach.
+// Lease grants rights to a router. If the zone holds too few, it first
+// recalls unreserved rights from the zone's other routers and requests rights
+// from the other zones. The reply can then distinguish a spent budget from
+// rights that are out of reach.
 func (s *budgetServer) Lease(ctx context.Context, r *messenger.LeaseRequest) (*messenger.LeaseReply, error) {
-	s.shares.demand(r.Workspace, r.Router, float64(r.DemandTokensPerSecond), time.Now())
-	g := &gathering{server: s, workspace: r.Workspace, want: r.WantTokens, held: map[string]int64{}}
-	if s.loop.currentMode() != budgeter.ModeStarting && g.missing(ctx) > 0 {
-		g.recall(ctx, r.Router)
-		g.askAll(ctx)
+	s.shares.recordDemand(r.Workspace, r.Router, float64(r.DemandTokensPerSecond), time.Now())
+	g := &rightsCollector{server: s, workspace: r.Workspace, want: r.WantTokens, held: map[string]int64{}}
+	if s.loop.currentMode() != budgeter.ModeStarting && g.shortfall(ctx) > 0 {
+		g.recallFromRouters(ctx, r.Router)
+		g.requestFromZones(ctx)
 	}
-	out, err := answer[*messenger.LeaseReply](s.loop.handle(ctx, budgeter.Lease{Request: r}))
+	out, err := grpcReply[*messenger.LeaseReply](s.loop.handle(ctx, budgeter.Lease{Request: r}))
 	if err != nil {
 		return nil, err
 	}
 	for _, n := range g.held {
 		out.HeldTokens += n
 	}
-	out.UnreachableZones, out.ElsewhereTokens = g.silent, s.shares.elsewhere(r.Workspace)
+	out.UnreachableZones, out.ElsewhereTokens = g.unreachable, s.shares.unspentElsewhere(r.Workspace)
 	return out, nil
 }
 
-// gathering brings rights of one workspace to this zone.
-type gathering struct {
-	server    *budgetServer
-	workspace string
-	want      int64
-	silent    []string
-	// Held maps zones that answered to the rights that they can't give now.
+// rightsCollector brings rights of one workspace to this zone.
+type rightsCollector struct {
+	server      *budgetServer
+	workspace   string
+	want        int64
+	unreachable []string
+	// held maps each zone that answered to the rights that it can't give at
+	// present.
 	held map[string]int64
 }
 
-func (g *gathering) missing(ctx context.Context) int64 {
+// shortfall returns how many tokens the zone lacks; it is not positive if the
+// zone has enough.
+func (g *rightsCollector) shortfall(ctx context.Context) int64 {
 	unspent, err := readVault(ctx, g.server.loop, func(v *budgeter.Vault) int64 { return v.Unspent(g.workspace) })
 	if err != nil {
 		return 0
@@ -48,9 +52,10 @@
 	return g.want - unspent
 }
 
-// recall asks the other routers that have a lease.
-func (g *gathering) recall(ctx context.Context, asking string) {
-	n := g.missing(ctx)
+// recallFromRouters recalls unused rights from all routers with a lease,
+// except the one that is asking.
+func (g *rightsCollector) recallFromRouters(ctx context.Context, asking string) {
+	n := g.shortfall(ctx)
 	if n <= 0 {
 		return
 	}
@@ -63,28 +68,27 @@
 			}
 		}
 	}
-	each(ctx, others, func(ctx context.Context, p peer) error {
+	callAll(ctx, others, func(ctx context.Context, p peer) error {
 		_, err := p.router().Recall(ctx, &messenger.RecallRequest{Workspace: g.workspace, WantTokens: n})
 		return err
 	})
 }
 
-// askAll asks every other zone for an equal part, and then those that have
-// more left for the rest: two rounds, and never more than is missing.
-func (g *gathering) askAll(ctx context.Context) {
-	n := g.missing(ctx)
-	list := g.server.keeper.peers.list
+// requestFrom requests rights from one zone and accepts the transfer.
+func (g *rightsCollector) requestFromZones(ctx context.Context) {
+	n := g.shortfall(ctx)
+	list := g.server.keeper.peers.keepers
 	if n <= 0 || len(list) == 0 {
 		return
 	}
 	part := (n + int64(len(list)) - 1) / int64(len(list))
-	left := g.round(ctx, list, func(peer) int64 { return part })
+	left := g.requestRound(ctx, list, func(peer) int64 { return part })
 	for _, p := range list {
 		if _, answered := left[p.process.Zone()]; !answered {
-			g.silent = append(g.silent, p.process.Zone())
+			g.unreachable = append(g.unreachable, p.process.Zone())
 		}
 	}
-	n = g.missing(ctx)
+	n = g.shortfall(ctx)
 	var richer []peer
 	parts := map[string]int64{}
 	for _, p := range list {
@@ -96,16 +100,17 @@
 		}
 	}
 	if len(richer) > 0 {
-		g.round(ctx, richer, func(p peer) int64 { return parts[p.process.Zone()] })
+		g.requestRound(ctx, richer, func(p peer) int64 { return parts[p.process.Zone()] })
 	}
 }
 
-// round asks the peers at once and returns what each has left.
-func (g *gathering) round(ctx context.Context, list []peer, want func(peer) int64) map[string]int64 {
+// requestRound sends requests to all peers concurrently and returns what each
+// has left.
+func (g *rightsCollector) requestRound(ctx context.Context, list []peer, want func(peer) int64) map[string]int64 {
 	var mu sync.Mutex
 	left := map[string]int64{}
-	each(ctx, list, func(ctx context.Context, p peer) error {
-		out, err := g.ask(ctx, p, want(p))
+	callAll(ctx, list, func(ctx context.Context, p peer) error {
+		out, err := g.requestFrom(ctx, p, want(p))
 		if err != nil {
 			return err
 		}
@@ -116,12 +121,12 @@
 		return nil
 	})
 	for zone, n := range left {
-		g.server.shares.left(g.workspace, zone, n, time.Now())
+		g.server.shares.setUnspent(g.workspace, zone, n, time.Now())
 	}
 	return left
 }
 
-func (g *gathering) ask(ctx context.Context, p peer, n int64) (*messenger.AskReply, error) {
+func (g *rightsCollector) requestFrom(ctx context.Context, p peer, n int64) (*messenger.AskReply, error) {
 	incarnation, err := readVault(ctx, g.server.loop, (*budgeter.Vault).Incarnation)
 	if err != nil {
 		return nil, err
@@ -132,7 +137,8 @@
 	if err != nil || out.Transfer == nil {
 		return out, err
 	}
-	// The rights count here even where the answer to Give may not leave yet.
+	// The rights are available here even if the reply to Give is withheld as
+	// not durable yet.
 	_, _ = g.server.Give(ctx, &messenger.GiveRequest{Transfers: []*messenger.Transfer{out.Transfer}})
 	return out, nil
 }
--- a/keeper/vault_loop.go
+++ b/keeper/vault_loop.go
@@ -16,28 +16,28 @@
 	"rattanhoist.example/rattanhoist/storer"
 )
 
-// errNotYet says that an answer would not be durable now: the vault starts,
-// or neither the mirror nor another holder knows of the commit. The same
-// request works later.
-var errNotYet = merry.Sentinel("budget can't be answered durably now; ask again")
+// errNotDurable means that an answer would not be durable at present: the
+// vault is starting, or neither the mirror nor a holder of the solo mark
+// knows of the commit. The same request succeeds later.
+var errNotDurable = merry.Sentinel("budget can't be answered durably now; ask again")
 
 const (
-	// commitMost bounds how many events share one sync.
-	commitMost = 512
-	// commitEvery is the least time from one commit to the next in a zone of
-	// pacedRouters and more, and less in smaller ones, down to nothing with the
-	// two routers that every zone has. An event that comes later than that
-	// waits for nothing.
-	commitEvery  = 5 * time.Millisecond
-	pacedRouters = 18
-	leastRouters = 2
+	// maxBatchEvents bounds the events that share one sync.
+	maxBatchEvents = 512
+	// maxCommitInterval is the minimum time between two commits in a zone of
+	// fullPacingRouters or more. It decreases with the number of routers, to
+	// zero at minRouters, the fewest that a zone has. An event that arrives
+	// later than that after the last commit does not wait.
+	maxCommitInterval = 5 * time.Millisecond
+	fullPacingRouters = 18
+	minRouters        = 2
 	// mirrorTimeout bounds how long answers wait for the mirror before the
-	// vault goes on alone.
+	// vault continues without it.
 	mirrorTimeout = 300 * time.Millisecond
 )
 
-// The row of the last commit, the incarnation that was paired, and the mark
-// of a restore in progress.
+// Rows for the state of the last commit, the incarnation that was paired, and
+// a restore in progress.
 const (
 	bucketCommit = "budget_commit"
 	keyState     = "state"
@@ -45,56 +45,59 @@
 	keyRestoring = "restoring"
 )
 
-// call is one event with the place for its answer, or a read.
-type call struct {
+// vaultCall is an event with the channel for its reply, or a read of the
+// vault.
+type vaultCall struct {
 	event budgeter.Event
 	read  func(*budgeter.Vault)
 	done  chan budgeter.Reply
 }
 
-// mirrorLink copies commits to the mirror and leaves solo marks.
+// mirrorLink copies commits to the mirror and stores solo marks.
 type mirrorLink interface {
-	// Exists reports whether there is a mirror at all.
+	// exists reports whether a mirror is configured.
 	exists() bool
-	// Copy returns nil once the mirror has synced the commit.
+	// copy returns nil once the mirror has synced the commit.
 	copy(context.Context, *messenger.CopyRequest) error
-	// Mark returns nil once another node than the mirror holds the mark.
+	// mark returns nil once a node other than the mirror has stored the mark.
 	mark(context.Context, *messenger.SoloMark) error
 }
 
-// vaultLoop runs the vault: one goroutine steps it, syncs the rows of every
-// waiting event in one commit on both disks, and only then answers.
+// vaultLoop runs the vault. One goroutine steps it, syncs the rows of all
+// queued events in one commit on both disks, and only then replies.
 type vaultLoop struct {
-	callQueue[call]
+	callQueue[vaultCall]
 	vault *budgeter.Vault
 	store *storer.Store
 	link  mirrorLink
 	log   *zap.Logger
-	// Last is when the latest commit of events began; of the goroutine of run.
-	last time.Time
-	// Now and after are the clock.
+	// lastCommit is when the latest commit of events began. Only the
+	// goroutine of run uses it.
+	lastCommit time.Time
+	// now and after are the clock, replaced in tests.
 	now   func() time.Time
 	after func(time.Duration) <-chan time.Time
-	// Mu guards copier, which pairing shares.
+	// mu guards copier, which mirrorSync uses too.
 	mu     sync.Mutex
 	copier *budgeter.Copier
-	// Mode is the copier's, for those who may not wait for mu.
+	// mode is the copier's mode, readable without waiting for mu.
 	mode atomic.Value
-	// Incarnation is the vault's, 0 until it is open.
+	// incarnation is the vault's incarnation, 0 until the vault is open.
 	incarnation atomic.Uint64
 }
 
 func newVaultLoop(zone string, store *storer.Store, link mirrorLink, log *zap.Logger) *vaultLoop {
 	l := &vaultLoop{
 		vault: budgeter.NewVault(zone, store), store: store, link: link, log: log,
-		callQueue: newCallQueue[call](commitMost), now: time.Now, after: time.After,
+		callQueue: newCallQueue[vaultCall](maxBatchEvents), now: time.Now, after: time.After,
 	}
 	l.mode.Store(budgeter.ModeStarting)
 	return l
 }
 
-// begun reports whether the store holds a vault whose first commit is synced.
-func (l *vaultLoop) begun() (bool, error) {
+// initialized reports whether the store holds a vault whose first commit is
+// synced.
+func (l *vaultLoop) initialized() (bool, error) {
 	state, err := l.store.Get(bucketCommit, keyState)
 	if err != nil {
 		return false, err
@@ -103,7 +106,8 @@
 	return state != nil && restoring == nil, err
 }
 
-// load takes the stored rows in and checks that the books balance.
+// load restores the vault from the stored rows and checks that its accounts
+// balance.
 func (l *vaultLoop) load() error {
 	for _, b := range budgeter.Resident {
 		err := l.store.Each(b, func(key string, value []byte) error { return l.vault.Restore(b, key, value) })
@@ -114,7 +118,7 @@
 	return l.vault.Check()
 }
 
-// start prepares the copier from the stored state.
+// start creates the copier from the stored state.
 func (l *vaultLoop) start() error {
 	b, err := l.store.Get(bucketCommit, keyState)
 	if err != nil {
@@ -145,14 +149,14 @@
 
 func (l *vaultLoop) setMode(mode string) {
 	l.mode.Store(mode)
-	textMode.Set(mode)
+	modeVar.Set(mode)
 }
 
 // currentMode returns how commits are copied; see budgeter.ModePaired.
 func (l *vaultLoop) currentMode() string { return l.mode.Load().(string) }
 
-// begin makes the first commit of an incarnation. Rows that were restored
-// count only from here on.
+// begin makes the first commit of an incarnation. Restored rows become valid
+// with this commit.
 func (l *vaultLoop) begin(e budgeter.Begin) error {
 	var writes []budgeter.Write
 	for _, a := range l.vault.Step(time.Now(), e) {
@@ -161,7 +165,7 @@
 		}
 	}
 	l.startCopier(&messenger.CopyState{Zone: l.vault.Zone(), Incarnation: e.Incarnation}, false)
-	r := l.prepare(budgeter.CopyRows(writes))
+	r := l.nextCommit(budgeter.CopyRows(writes))
 	rows := append(storeRows(r), storer.Row{Bucket: bucketCommit, Key: keyRestoring}, storer.Row{Bucket: bucketCommit, Key: keyPaired})
 	if err := l.store.Apply(rows); err != nil {
 		return err
@@ -170,39 +174,39 @@
 	return nil
 }
 
-// run steps the vault until ctx ends or the store fails. After a failed
-// write the memory is ahead of the disk, so the process must not go on: it
-// would answer from rights that a restart forgets.
+// run steps the vault until ctx ends or the store fails. After a failed write
+// memory is ahead of the disk, so the process must not continue: it would
+// answer from rights that are gone after a restart.
 func (l *vaultLoop) run(ctx context.Context) error {
-	defer close(l.ended)
+	defer close(l.stopped)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case c := <-l.calls:
-			if err := l.commit(ctx, l.gather(ctx, c)); err != nil {
+			if err := l.commit(ctx, l.collectEvents(ctx, c)); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// gather returns the events of the next commit: those that wait, and where the
-// last commit is less than commitEvery ago, those that come until then. Each
-// commit costs a call to the mirror and two syncs, whatever it holds: without
-// this a busy keeper makes one of nearly every event. Reads are answered at
-// once; the vault is as it was last synced.
-func (l *vaultLoop) gather(ctx context.Context, first call) []call {
+// collectEvents returns the events of the next commit: those already queued
+// and, if the last commit was less than commitInterval ago, those that arrive
+// until then. Each commit costs a call to the mirror and two syncs whatever
+// its size, and a busy keeper would otherwise make one for nearly every
+// event. Reads are answered at once from the vault as last synced.
+func (l *vaultLoop) collectEvents(ctx context.Context, first vaultCall) []vaultCall {
 	events := l.answerReads(l.batch(first))
-	wait := l.last.Add(paceOf(l.vault.Routers())).Sub(l.now())
+	wait := l.lastCommit.Add(commitInterval(l.vault.Routers())).Sub(l.now())
 	if len(events) == 0 || wait <= 0 {
 		return events
 	}
 	due := l.after(wait)
-	for len(events) < commitMost {
+	for len(events) < maxBatchEvents {
 		select {
 		case c := <-l.calls:
-			events = append(events, l.answerReads([]call{c})...)
+			events = append(events, l.answerReads([]vaultCall{c})...)
 		case <-due:
 			return events
 		case <-ctx.Done():
@@ -212,23 +216,24 @@
 	return events
 }
 
-// paceOf returns the least time between commits in a zone of so many routers.
-// With few routers the commits are few, and a wait would only make a caller who
-// sends one request after the other slower.
-func paceOf(routers int) time.Duration {
-	paced := min(max(routers, leastRouters), pacedRouters) - leastRouters
-	return commitEvery * time.Duration(paced) / (pacedRouters - leastRouters)
+// commitInterval returns the minimum time between commits in a zone with the
+// given number of routers. With few routers commits are rare, and a wait
+// would only slow down a caller that sends its requests one after another.
+func commitInterval(routers int) time.Duration {
+	paced := min(max(routers, minRouters), fullPacingRouters) - minRouters
+	return maxCommitInterval * time.Duration(paced) / (fullPacingRouters - minRouters)
 }
 
-// commit answers reads at once; the events share one sync. The reads go first:
-// after a step they would see what a crash may still take back, and a transfer
-// that left on the strength of it would exist in two zones.
-func (l *vaultLoop) commit(ctx context.Context, batch []call) error {
+// commit steps the vault with a batch and syncs all events together. Reads
+// are answered before the step: afterwards they would see changes that a
+// crash can still undo, and a transfer sent because of such a read would
+// exist in two zones.
+func (l *vaultLoop) commit(ctx context.Context, batch []vaultCall) error {
 	events := l.answerReads(batch)
 	if len(events) == 0 {
 		return nil
 	}
-	l.last = l.now()
+	l.lastCommit = l.now()
 	var writes []budgeter.Write
 	replies := make([]budgeter.Reply, len(events))
 	for i, c := range events {
@@ -242,14 +247,14 @@
 	countEvents.Add(int64(len(events)))
 	mode := l.currentMode()
 	for i, c := range events {
-		c.done <- release(mode, c.event, replies[i])
+		c.done <- releaseReply(mode, c.event, replies[i])
 	}
 	return nil
 }
 
-// answerReads returns the calls that are events.
-func (l *vaultLoop) answerReads(batch []call) []call {
-	var events []call
+// answerReads answers the reads in a batch and returns the events.
+func (l *vaultLoop) answerReads(batch []vaultCall) []vaultCall {
+	var events []vaultCall
 	for _, c := range batch {
 		if c.read == nil {
 			events = append(events, c)
@@ -261,10 +266,13 @@
 	return events
 }
 
+// step applies an event to the vault and returns the rows to write and the
+// reply. It refuses all events while the vault is starting, and transfers to
+// other zones while it runs without its mirror.
 func (l *vaultLoop) step(e budgeter.Event) (writes []budgeter.Write, reply budgeter.Reply) {
 	mode := l.currentMode()
 	if _, ok := e.(budgeter.Ask); mode == budgeter.ModeStarting || ok && mode == budgeter.ModeSolo {
-		return nil, budgeter.Reply{Err: errNotYet}
+		return nil, budgeter.Reply{Err: errNotDurable}
 	}
 	for _, a := range l.vault.Step(time.Now(), e) {
 		switch a := a.(type) {
@@ -277,14 +285,15 @@
 	return writes, reply
 }
 
-// release decides whether an answer may leave and says how durable it is.
-func release(mode string, e budgeter.Event, r budgeter.Reply) budgeter.Reply {
+// releaseReply returns the reply to send after a commit: the vault's own,
+// marked with how durable it is, or errNotDurable.
+func releaseReply(mode string, e budgeter.Event, r budgeter.Reply) budgeter.Reply {
 	if r.Err != nil {
 		return r
 	}
 	if mode != budgeter.ModePaired && (mode != budgeter.ModeSolo || budgeter.NeedsTwoDisks(e)) {
 		countRefused.Add(1)
-		return budgeter.Reply{Err: errNotYet}
+		return budgeter.Reply{Err: errNotDurable}
 	}
 	if c, ok := r.Message.(*messenger.ChargeReply); ok {
 		c.TwoDisks = mode == budgeter.ModePaired
@@ -292,16 +301,16 @@
 	return r
 }
 
-// sync writes the rows to this disk and then to the mirror's. Were the mirror
-// written first or at the same time, it could hold a commit that a crash took
-// from this disk, and a later restore would bring back rights that had been
-// spent otherwise meanwhile.
+// sync writes the rows to this disk and then to the mirror's. If the mirror
+// were written first or concurrently, it could hold a commit that this disk
+// lost in a crash. A later restore would then bring back rights that have
+// been spent in another way since.
 func (l *vaultLoop) sync(ctx context.Context, rows []*messenger.CopyRow) error {
 	if len(rows) == 0 {
-		l.leaveMark(ctx)
+		l.placeSoloMark(ctx)
 		return nil
 	}
-	r := l.prepare(rows)
+	r := l.nextCommit(rows)
 	if err := l.store.Apply(storeRows(r)); err != nil {
 		return err
 	}
@@ -309,13 +318,14 @@
 	countRows.Add(int64(len(rows)))
 	if l.committed(r) == budgeter.ModePaired {
 		if err := l.copy(ctx, r); err != nil {
-			l.lost(err)
+			l.mirrorLost(err)
 		}
 	}
-	l.leaveMark(ctx)
+	l.placeSoloMark(ctx)
 	return nil
 }
 
+// copy sends a commit to the mirror, if there is one.
 func (l *vaultLoop) copy(ctx context.Context, r *messenger.CopyRequest) error {
 	if !l.link.exists() {
 		return nil
@@ -326,14 +336,15 @@
 	return l.link.copy(ctx, r)
 }
 
-// prepare gives the rows the next commit number.
-func (l *vaultLoop) prepare(rows []*messenger.CopyRow) *messenger.CopyRequest {
+// nextCommit assigns the next commit number to the rows.
+func (l *vaultLoop) nextCommit(rows []*messenger.CopyRow) *messenger.CopyRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.copier.Prepare(rows)
 }
 
-// committed notes that a commit is synced here and returns the mode.
+// committed records that a commit is synced to this disk and returns the
+// mode.
 func (l *vaultLoop) committed(r *messenger.CopyRequest) string {
 	l.vault.Synced()
 	l.mu.Lock()
@@ -343,16 +354,18 @@
 	return l.copier.Mode()
 }
 
-func (l *vaultLoop) lost(err error) {
+// mirrorLost records that the mirror does not take commits.
+func (l *vaultLoop) mirrorLost(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.log.Warn("mirror does not take commits", zap.Error(err))
 	l.copier.Lost()
 }
 
-// leaveMark has another node remember that the copy falls behind, before
-// anything is answered without it.
-func (l *vaultLoop) leaveMark(ctx context.Context) {
+// placeSoloMark stores a mark at another node, which records that the
+// mirror's copy is falling behind. Nothing is answered without the mirror
+// before that.
+func (l *vaultLoop) placeSoloMark(ctx context.Context) {
 	if l.currentMode() != budgeter.ModeMarking {
 		return
 	}
@@ -370,7 +383,8 @@
 	l.copier.Marked()
 }
 
-// storeRows are the rows of a commit with its state, for this disk.
+// storeRows returns the rows of a commit and its state as rows of this
+// keeper's store.
 func storeRows(r *messenger.CopyRequest) []storer.Row {
 	rows := make([]storer.Row, 0, len(r.Rows)+1)
 	for _, x := range r.Rows {
@@ -382,15 +396,17 @@
 func marshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
-		// Marshalling fails only on invalid UTF-8, which the wire rejects.
+		// Marshalling fails only on invalid UTF-8, which gRPC rejects on
+		// receipt.
 		panic(err)
 	}
 	return append([]byte{}, b...)
 }
 
-func (l *vaultLoop) do(ctx context.Context, c call) (proto.Message, error) {
+// submit enqueues a call and waits for its reply.
+func (l *vaultLoop) submit(ctx context.Context, c vaultCall) (proto.Message, error) {
 	c.done = make(chan budgeter.Reply, 1)
-	if err := l.put(ctx, c); err != nil {
+	if err := l.enqueue(ctx, c); err != nil {
 		return nil, err
 	}
 	r, err := await(ctx, l.callQueue, c.done)
@@ -400,32 +416,35 @@
 	return r.Message, r.Err
 }
 
-// handle has the vault handle an event and returns its durable answer.
+// handle has the vault process an event and returns the reply once it is
+// durable.
 func (l *vaultLoop) handle(ctx context.Context, e budgeter.Event) (proto.Message, error) {
-	return l.do(ctx, call{event: e})
+	return l.submit(ctx, vaultCall{event: e})
 }
 
-// copied reports whether the mirror has everything that was synced before the
-// call. The mode alone does not say so: it stays paired while a commit is on
-// its way to the mirror. Between two commits it does.
-func (l *vaultLoop) copied(ctx context.Context) bool {
+// mirrorUpToDate reports whether the mirror has everything that was synced
+// before the call. Reading the mode directly is not enough, because it stays
+// paired while a commit is on its way to the mirror. A read by the loop runs
+// between two commits, where the mode is conclusive.
+func (l *vaultLoop) mirrorUpToDate(ctx context.Context) bool {
 	mode, err := readVault(ctx, l, func(*budgeter.Vault) string { return l.currentMode() })
 	return err == nil && mode == budgeter.ModePaired
 }
 
-// read runs f on the vault as it was last synced, between two commits; it
-// waits for no sync but the one in progress.
+// read runs f between two commits, on the vault as last synced. It waits for
+// at most the sync in progress.
 func (l *vaultLoop) read(ctx context.Context, f func(*budgeter.Vault)) error {
-	_, err := l.do(ctx, call{read: f})
+	_, err := l.submit(ctx, vaultCall{read: f})
 	return err
 }
 
-// readVault returns what f returns for the vault as it was last synced, or
-// the zero value with an error. A read that was given up may still run: its
-// result must not be looked at then, so none leaves by captured variables.
+// readVault returns the result of f for the vault as last synced, or the zero
+// value with an error. An abandoned read may still run, so its result must
+// not be accessed then; callers therefore get it as a return value and not
+// through captured variables.
 func readVault[T any](ctx context.Context, l *vaultLoop, f func(*budgeter.Vault) T) (T, error) {
 	var out, none T
-	if _, err := l.do(ctx, call{read: func(v *budgeter.Vault) { out = f(v) }}); err != nil {
+	if _, err := l.submit(ctx, vaultCall{read: func(v *budgeter.Vault) { out = f(v) }}); err != nil {
 		return none, err
 	}
 	return out, nil
--- a/keeper/vault_loop_test.go
+++ b/keeper/vault_loop_test.go
@@ -17,15 +17,15 @@
 	"rattanhoist.example/rattanhoist/storer"
 )
 
-// gatedMirror takes commits at once until it is gated, and then reports each
-// copy and waits for its outcome.
+// gatedMirror accepts commits at once until it is gated. From then on it
+// reports each copy and waits for the outcome to return.
 type gatedMirror struct {
 	asked   chan struct{}
 	outcome chan error
 }
 
 func (*gatedMirror) exists() bool                                    { return true }
-func (*gatedMirror) mark(context.Context, *messenger.SoloMark) error { return errNotYet }
+func (*gatedMirror) mark(context.Context, *messenger.SoloMark) error { return errNotDurable }
 func (m *gatedMirror) copy(context.Context, *messenger.CopyRequest) error {
 	if m.asked == nil {
 		return nil
@@ -34,7 +34,7 @@
 	return <-m.outcome
 }
 
-// pairedLoop returns the loop of a paired vault of zone a, with 100 tokens of
+// pairedLoop returns the loop of a paired vault of zone a, with 100 tokens in
 // workspace w.
 func pairedLoop(t *testing.T, m mirrorLink) (*vaultLoop, *storer.Store) {
 	t.Helper()
@@ -43,52 +43,53 @@
 	l := newVaultLoop("a", store, m, zap.NewNop())
 	g.Expect(l.begin(budgeter.Begin{Incarnation: 1})).To(gomega.Succeed())
 	l.copier.CaughtUp(l.copier.State())
-	mint := call{
+	mint := vaultCall{
 		event: budgeter.Mint{Request: &messenger.TopUpRequest{TopUpId: "a/1", Workspace: "w", Tokens: 100}},
 		done:  make(chan budgeter.Reply, 1),
 	}
-	g.Expect(l.commit(t.Context(), []call{mint})).To(gomega.Succeed())
+	g.Expect(l.commit(t.Context(), []vaultCall{mint})).To(gomega.Succeed())
 	g.Expect((<-mint.done).Err).NotTo(gomega.HaveOccurred())
 	return l, store
 }
 
-func askCall() call {
-	return call{
+func askCall() vaultCall {
+	return vaultCall{
 		event: budgeter.Ask{Request: &messenger.AskRequest{Workspace: "w", Zone: "b", WantTokens: 60}},
 		done:  make(chan budgeter.Reply, 1),
 	}
 }
 
-// Symptom: two zones spend the same rights. Sequence: zone b asks zone a for
-// rights, and a's round of resends reads the pending transfers in the same
-// batch; the transfer leaves; a crashes before its sync, and comes back with
-// the rights that b spends. Cause: reads that see steps without a sync.
+// Two zones must not spend the same rights because a read saw a step before
+// its sync. Zone b requests rights from zone a, and a's resend round reads
+// the pending transfers in the same batch. If the transfer left and a crashed
+// before its sync, a would still have the rights that b spends.
 func TestReadsSeeOnlySyncedTransfers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, store := pairedLoop(t, &gatedMirror{})
 	ask := askCall()
-	read := call{done: make(chan budgeter.Reply, 1), read: func(v *budgeter.Vault) {
+	read := vaultCall{done: make(chan budgeter.Reply, 1), read: func(v *budgeter.Vault) {
 		for _, p := range v.Pending() {
 			row, err := store.Get(budgeter.BucketTransfers, p.TransferId)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(row).NotTo(gomega.BeNil(), "transfer %s is not synced", p.TransferId)
 		}
 	}}
-	g.Expect(l.commit(t.Context(), []call{ask, read})).To(gomega.Succeed())
+	g.Expect(l.commit(t.Context(), []vaultCall{ask, read})).To(gomega.Succeed())
 	<-read.done
 	g.Expect((<-ask.done).Err).NotTo(gomega.HaveOccurred())
 	g.Expect(l.vault.Pending()).To(gomega.HaveLen(1))
 }
 
-// Symptom: two zones spend the same rights. Sequence: a transfer of zone a is
-// synced there and on its way to the mirror; a round of resends finds the mode
-// still paired; the mirror does not take it; a loses its disk and is restored
-// with the rights. Cause: a mode that was read before the outcome of the copy.
-func TestCopiedWaitsForTheMirror(t *testing.T) {
+// Two zones must not spend the same rights because the mode was read before
+// the outcome of a copy. A transfer of zone a is synced there and on its way
+// to the mirror while a resend round checks the mode, which is still paired.
+// If the mirror then misses it and a loses its disk, a is restored with the
+// rights.
+func TestMirrorUpToDateWaitsForTheCopy(t *testing.T) {
 	for _, x := range []struct {
 		outcome error
 		copied  bool
-	}{{nil, true}, {errBroken, false}} {
+	}{{nil, true}, {errConnectionBroken, false}} {
 		g := gomega.NewWithT(t)
 		m := &gatedMirror{}
 		l, _ := pairedLoop(t, m)
@@ -100,7 +101,7 @@
 		<-m.asked
 		g.Expect(l.currentMode()).To(gomega.Equal(budgeter.ModePaired))
 		copied := make(chan bool)
-		go func() { copied <- l.copied(ctx) }()
+		go func() { copied <- l.mirrorUpToDate(ctx) }()
 		select {
 		case <-copied:
 			t.Fatal("answered before the mirror did")
@@ -108,14 +109,14 @@
 		}
 		g.Expect(<-copied).To(gomega.Equal(x.copied))
 		cancel()
-		<-l.ended
+		<-l.stopped
 	}
 }
 
-// Symptom: a keeper reads memory that its loop is writing. Sequence: a caller
-// goes while its read waits in the loop's queue; the call returns and looks at
-// what the read writes; the loop runs the read at the same time. Cause: results
-// that leave a read by captured variables. Only the race detector sees it.
+// A keeper must not access memory that its loop is writing. A caller gives up
+// while its read is queued, and its function returns and accesses the read's
+// result while the loop runs the read. This happens if results leave a read
+// through captured variables; only the race detector finds it.
 func TestAbandonedReadsShareNoMemory(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, err := newLogLoop("a", nil, &faultyStore{rows: map[string]map[string][]byte{}}, rand.New(rand.NewPCG(1, 1)), zap.NewNop(), func(*messenger.LogMessage) {})
@@ -139,14 +140,14 @@
 			cancel()
 			close(gate)
 		}()
-		sub := subscriber{version: 1}
+		sub := subscriberState{version: 1}
 		_, _, _ = s.update(ctx, &sub)
 		cancel()
 	}
 }
 
-// What a read that was given up returns later must not be seen.
-func TestReadThatWasGivenUpReturnsNothing(t *testing.T) {
+// The result that an abandoned read produces later must not become visible.
+func TestAbandonedReadReturnsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, _ := pairedLoop(t, &gatedMirror{})
 	go func() { _ = l.run(t.Context()) }()
@@ -162,11 +163,11 @@
 	g.Expect(got).To(gomega.BeZero())
 }
 
-// Symptom: a busy keeper spends its processor on calls to its mirror.
-// Sequence: an event right after a commit, then others and a read; the time
-// of a commit passes; an event long after. Cause: a commit for each event. A
-// wait that held reads up, or an event of an idle keeper, would be as wrong.
-func TestCommitsOfABusyKeeperAreGathered(t *testing.T) {
+// A busy keeper must not spend its processor time on one mirror call per
+// event. An event right after a commit is followed by others and a read
+// within the commit interval, and by an event long afterwards. Neither the
+// read nor the event of an idle keeper may be delayed.
+func TestBusyKeeperBatchesCommits(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, _ := pairedLoop(t, &gatedMirror{})
 	var clock atomic.Int64
@@ -176,23 +177,23 @@
 		asked <- d
 		return due
 	}
-	for i := range pacedRouters {
+	for i := range fullPacingRouters {
 		r := &messenger.RegisterRequest{Router: fmt.Sprint("r", i), Incarnation: 1}
-		g.Expect(l.commit(t.Context(), []call{{event: budgeter.Register{Request: r}, done: make(chan budgeter.Reply, 1)}})).To(gomega.Succeed())
+		g.Expect(l.commit(t.Context(), []vaultCall{{event: budgeter.Register{Request: r}, done: make(chan budgeter.Reply, 1)}})).To(gomega.Succeed())
 	}
-	l.last = l.now()
+	l.lastCommit = l.now()
 	number := l.copier.State().Number
 	clock.Add(int64(3 * time.Millisecond))
 	go func() { _ = l.run(t.Context()) }()
-	var calls []call
+	var calls []vaultCall
 	for i := range 5 {
-		c := call{done: make(chan budgeter.Reply, 1), event: budgeter.Mint{Request: &messenger.TopUpRequest{
+		c := vaultCall{done: make(chan budgeter.Reply, 1), event: budgeter.Mint{Request: &messenger.TopUpRequest{
 			TopUpId: fmt.Sprint("a/", i+2), Workspace: "w", Tokens: 10,
 		}}}
 		calls = append(calls, c)
 		l.calls <- c
 		if i == 0 {
-			g.Expect(<-asked).To(gomega.Equal(commitEvery - 3*time.Millisecond))
+			g.Expect(<-asked).To(gomega.Equal(maxCommitInterval - 3*time.Millisecond))
 		}
 	}
 	unspent, err := readVault(t.Context(), l, func(v *budgeter.Vault) int64 { return v.Unspent("w") })
@@ -209,16 +210,17 @@
 	got, err := readVault(t.Context(), l, state)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(got).To(gomega.Equal(number + 1))
-	clock.Add(int64(commitEvery))
+	clock.Add(int64(maxCommitInterval))
 	l.calls <- calls[0]
 	g.Expect((<-calls[0].done).Err).NotTo(gomega.HaveOccurred())
 	g.Expect(asked).To(gomega.BeEmpty())
 }
 
-// TestPaceFollowsTheZone guards small zones: with two routers no commit waits.
-func TestPaceFollowsTheZone(t *testing.T) {
+// Commits must not wait in small zones: with two routers the interval is
+// zero.
+func TestCommitIntervalGrowsWithRouters(t *testing.T) {
 	g := gomega.NewWithT(t)
-	for routers, want := range map[int]time.Duration{0: 0, 2: 0, 10: commitEvery / 2, 18: commitEvery, 40: commitEvery} {
-		g.Expect(paceOf(routers)).To(gomega.Equal(want), fmt.Sprint(routers))
+	for routers, want := range map[int]time.Duration{0: 0, 2: 0, 10: maxCommitInterval / 2, 18: maxCommitInterval, 40: maxCommitInterval} {
+		g.Expect(commitInterval(routers)).To(gomega.Equal(want), fmt.Sprint(routers))
 	}
 }
