--- a/keeper/vault_rounds.go
+++ b/keeper/vault_maintenance.go
@@ -11,30 +11,31 @@
 )
 
 const (
-	// roundEvery is the pause between rounds of resends.
-	roundEvery = 200 * time.Millisecond
-	// handOverMost bounds the charges of one call.
-	handOverMost = 256
+	// maintenanceInterval is the pause between maintenance rounds.
+	maintenanceInterval = 200 * time.Millisecond
+	// maxHandOverCharges bounds the charges in one call.
+	maxHandOverCharges = 256
 )
 
-// rounds repeats what other processes have not yet confirmed. Without it a
-// lost answer would leave rights in transfer, or a dead router's remainder
-// leased, for ever.
-func (s *budgetServer) rounds(ctx context.Context) {
+// runMaintenance repeats calls that other processes have not yet confirmed.
+// Without it a lost reply would leave rights in transfer, or the rights of a
+// dead router leased, forever.
+func (s *budgetServer) runMaintenance(ctx context.Context) {
 	for ctx.Err() == nil {
-		s.resend(ctx)
-		s.release(ctx)
-		s.handOver(ctx)
+		s.resendTransfers(ctx)
+		s.releaseFenced(ctx)
+		s.handOverCharges(ctx)
 		s.claimBills(ctx)
 		s.watchRouters(ctx)
-		s.prune.round(ctx)
-		pause(ctx, roundEvery)
+		s.pruner.round(ctx)
+		sleep(ctx, maintenanceInterval)
 	}
 }
 
-// resend pushes transfers until the other zone has them on disk. None leaves
-// before it is on two disks here: a restored copy would still hold the rights.
-func (s *budgetServer) resend(ctx context.Context) {
+// resendTransfers sends pending transfers until the receiving zone has them
+// on disk. A transfer is sent only once it is on two disks here: a restored
+// copy without it would still hold the rights.
+func (s *budgetServer) resendTransfers(ctx context.Context) {
 	pending, _ := readVault(ctx, s.loop, (*budgeter.Vault).Pending)
 	byZone := map[string]*messenger.GiveRequest{}
 	for _, t := range pending {
@@ -43,17 +44,19 @@
 		}
 		byZone[t.ToZone].Transfers = append(byZone[t.ToZone].Transfers, t)
 	}
-	if len(byZone) == 0 || !s.loop.copied(ctx) {
+	if len(byZone) == 0 || !s.loop.mirrorUpToDate(ctx) {
 		return
 	}
 	for zone, r := range byZone {
-		if p, ok := s.keeper.peers.zone(zone); ok {
-			s.give(ctx, p, r)
+		if p, ok := s.keeper.peers.keeperOfZone(zone); ok {
+			s.sendTransfers(ctx, p, r)
 		}
 	}
 }
 
-func (s *budgetServer) give(ctx context.Context, p peer, r *messenger.GiveRequest) {
+// sendTransfers sends transfers to a keeper and confirms those that it
+// accepted.
+func (s *budgetServer) sendTransfers(ctx context.Context, p peer, r *messenger.GiveRequest) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	got, err := p.budget().Give(ctx, r)
@@ -62,27 +65,30 @@
 	}
 }
 
-// release returns what fenced incarnations had left, once the witness refuses
-// them too. It waits until the fence is on two disks: a restored copy without
-// it would take charges for rights that somebody else spends.
-func (s *budgetServer) release(ctx context.Context) {
+// releaseFenced returns the remaining rights of fenced incarnations once the
+// witness rejects them too. It waits until the fence is on two disks: a
+// restored copy without it would accept charges for rights that another
+// router already spends.
+func (s *budgetServer) releaseFenced(ctx context.Context) {
 	fencing, _ := readVault(ctx, s.loop, func(v *budgeter.Vault) (out []*messenger.FenceWitnessRequest) {
 		for _, r := range v.Fencing() {
 			out = append(out, &messenger.FenceWitnessRequest{Zone: v.Zone(), Router: r.Router, Incarnation: r.Fenced})
 		}
 		return out
 	})
-	if len(fencing) == 0 || !s.loop.copied(ctx) {
+	if len(fencing) == 0 || !s.loop.mirrorUpToDate(ctx) {
 		return
 	}
 	for _, r := range fencing {
-		if err := s.releaseOne(ctx, r); err != nil && ctx.Err() == nil {
+		if err := s.releaseFencedRouter(ctx, r); err != nil && ctx.Err() == nil {
 			s.log().Debug("remainder waits for the witness", zap.String("router", r.Router), zap.Error(err))
 		}
 	}
 }
 
-func (s *budgetServer) releaseOne(ctx context.Context, r *messenger.FenceWitnessRequest) error {
+// releaseFencedRouter has the witness reject a router's incarnation and then
+// returns its remaining rights.
+func (s *budgetServer) releaseFencedRouter(ctx context.Context, r *messenger.FenceWitnessRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	got := &messenger.FenceWitnessReply{}
@@ -101,11 +107,12 @@
 	return nil
 }
 
-// handOver brings witnessed charges to their own keepers.
-func (s *budgetServer) handOver(ctx context.Context) {
-	for _, p := range s.keeper.peers.list {
+// handOverCharges passes charges stored as a witness to the keepers that they
+// belong to.
+func (s *budgetServer) handOverCharges(ctx context.Context) {
+	for _, p := range s.keeper.peers.keepers {
 		charges, _ := readVault(ctx, s.loop, func(v *budgeter.Vault) []*messenger.Charge {
-			return v.Witnessed(p.process.Zone(), handOverMost)
+			return v.Witnessed(p.process.Zone(), maxHandOverCharges)
 		})
 		if len(charges) == 0 {
 			continue
--- a/keeper/mirror_repair.go
+++ b/keeper/vault_restore.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	// restoreEvery is the pause between tries to reach the mirror at a start
-	// without a disk.
-	restoreEvery = 200 * time.Millisecond
-	// proveEvery is the pause between rounds of questions after a restore.
-	proveEvery = 500 * time.Millisecond
+	// restoreInterval is the pause between attempts to reach the mirror when
+	// starting with an empty disk.
+	restoreInterval = 200 * time.Millisecond
+	// verifyRestoredInterval is the pause between rounds of queries after a
+	// restore.
+	verifyRestoredInterval = 500 * time.Millisecond
 )
 
-// open loads the vault from its disk. An empty disk under an old name is a
-// new incarnation: it takes its rows from the mirror's copy, and without an
-// answer of the mirror it can't tell a first start from a lost disk, so it
-// waits.
-func (s *budgetServer) open(ctx context.Context) error {
-	begun, err := s.loop.begun()
+// openVault loads the vault from the disk. If the disk is empty, the vault
+// starts a new incarnation from the mirror's copy. Until the mirror answers,
+// a first start can't be told from a lost disk, so open waits.
+func (s *budgetServer) openVault(ctx context.Context) error {
+	initialized, err := s.loop.initialized()
 	if err != nil {
 		return err
 	}
-	if begun {
+	if initialized {
 		if err := s.loop.load(); err != nil {
 			return err
 		}
 		return s.loop.start()
 	}
 	for ctx.Err() == nil {
-		state, err := s.restore(ctx)
+		state, err := s.restoreFromMirror(ctx)
 		if err == nil {
-			return s.beginFrom(state)
+			return s.beginIncarnation(state)
 		}
 		s.log().Warn("empty disk: waiting for the mirror", zap.Error(err))
-		pause(ctx, restoreEvery)
+		sleep(ctx, restoreInterval)
 	}
 	return ctx.Err()
 }
 
-// restore replaces the rows of the store by the mirror's copy; the state is
-// nil where the mirror has none.
-func (s *budgetServer) restore(ctx context.Context) (*messenger.CopyState, error) {
+// restoreFromMirror replaces the store's rows by the mirror's copy. The
+// returned state is nil if the mirror has no copy.
+func (s *budgetServer) restoreFromMirror(ctx context.Context) (*messenger.CopyState, error) {
 	store := s.keeper.store
 	if err := store.Apply([]storer.Row{{Bucket: bucketCommit, Key: keyRestoring, Value: []byte{1}}}); err != nil {
 		return nil, err
@@ -56,13 +56,13 @@
 	if err := store.Clear(budgeter.Buckets...); err != nil || !s.sender.exists() {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, wholeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, fullCopyTimeout)
 	defer cancel()
 	f, err := s.sender.client().Fetch(ctx, &messenger.FetchRequest{Zone: s.keeper.self.Zone()})
 	if err != nil {
 		return nil, err
 	}
-	return takeRows(f.Recv, func(rows []*messenger.CopyRow) error {
+	return receiveRows(f.Recv, func(rows []*messenger.CopyRow) error {
 		out := make([]storer.Row, 0, len(rows))
 		for _, r := range rows {
 			out = append(out, storer.Row{Bucket: r.Bucket, Key: r.Key, Value: r.Value})
@@ -71,7 +71,9 @@
 	})
 }
 
-func (s *budgetServer) beginFrom(state *messenger.CopyState) error {
+// beginIncarnation loads the restored rows and starts a new incarnation of
+// the vault, with an id above that of the copy.
+func (s *budgetServer) beginIncarnation(state *messenger.CopyState) error {
 	if err := s.loop.load(); err != nil {
 		return err
 	}
@@ -88,20 +90,23 @@
 	return nil
 }
 
-// prove asks everybody who may know until nothing can be missing any more.
-func (s *budgetServer) prove(ctx context.Context) {
+// verifyRestored queries routers and keepers until the vault can rule out
+// that the restored rows lack anything.
+func (s *budgetServer) verifyRestored(ctx context.Context) {
 	for ctx.Err() == nil {
 		unproved, err := readVault(ctx, s.loop, (*budgeter.Vault).Unproved)
 		if err != nil || !unproved {
 			return
 		}
-		s.proveOnce(ctx)
-		pause(ctx, proveEvery)
+		s.verifyRestoredOnce(ctx)
+		sleep(ctx, verifyRestoredInterval)
 	}
 }
 
-func (s *budgetServer) proveOnce(ctx context.Context) {
-	evidence, routers := s.evidence(ctx)
+// verifyRestoredOnce runs one round of queries and passes the result to the
+// vault, which releases its frozen rights once the evidence suffices.
+func (s *budgetServer) verifyRestoredOnce(ctx context.Context) {
+	evidence, routers := s.collectEvidence(ctx)
 	complete, err := readVault(ctx, s.loop, func(v *budgeter.Vault) bool { return v.CopyComplete(evidence) })
 	if err != nil {
 		return
@@ -115,11 +120,13 @@
 	}
 }
 
-func (s *budgetServer) evidence(ctx context.Context) (budgeter.Evidence, []string) {
+// collectEvidence queries the zone's routers for what they hold and the other
+// keepers for solo marks. It also returns the names of the zone's routers.
+func (s *budgetServer) collectEvidence(ctx context.Context) (budgeter.Evidence, []string) {
 	p := s.keeper.peers
 	var e budgeter.Evidence
 	var names []string
-	for _, x := range p.routersElsewhere() {
+	for _, x := range p.routersOnOtherVMs() {
 		e.Routers = append(e.Routers, x.process.Name())
 	}
 	for _, x := range p.routers {
@@ -127,7 +134,7 @@
 	}
 	var mu sync.Mutex
 	asking, _ := readVault(ctx, s.loop, (*budgeter.Vault).Incarnation)
-	each(ctx, p.routers, func(ctx context.Context, x peer) error {
+	callAll(ctx, p.routers, func(ctx context.Context, x peer) error {
 		h, err := x.router().Holdings(ctx, &messenger.HoldingsRequest{AskingIncarnation: asking})
 		if err != nil {
 			return err
@@ -137,9 +144,9 @@
 		e.Holdings = append(e.Holdings, h)
 		return nil
 	})
-	holders := p.markHolders()
+	holders := p.soloMarkHolders()
 	e.KeepersAsked = len(holders)
-	each(ctx, holders, func(ctx context.Context, x peer) error {
+	callAll(ctx, holders, func(ctx context.Context, x peer) error {
 		m, err := x.budget().Mark(ctx, &messenger.MarkRequest{Mark: &messenger.SoloMark{Zone: p.self.Zone()}})
 		if err != nil {
 			return err
