--- a/router/admit.go
+++ b/router/admit.go
@@ -14,43 +14,47 @@
 	"rattanhoist.example/rattanhoist/picker"
 )
 
-// admitCounters count what admission did; keys end in what became of requests.
+// admitCounters counts admission results; each key ends in the result.
 var admitCounters = new(expvar.Map)
 
-// recheck is how often a waiting request looks for room that load reports
-// have brought.
-const recheck = 20 * time.Millisecond
+// admissionPollInterval is how often a waiting request checks whether newer
+// load reports have freed capacity.
+const admissionPollInterval = 20 * time.Millisecond
 
-// limiter admits the requests of one service at one router.
+// limiter is the admission control of one service at one router.
 type limiter struct {
-	base    time.Time
+	// epoch is the origin of the queue's timestamps.
+	epoch   time.Time
 	retries *admitter.Retries
-	// InFlight counts requests between admission and their end.
+	// inFlight counts the requests that are admitted and have not ended.
 	inFlight atomic.Int64
-	// Waiting mirrors the queue's length, so that a router that has room
-	// admits without the lock.
+	// waiting mirrors the length of the queue, so that a request can be
+	// admitted without the lock while nobody waits.
 	waiting atomic.Int64
 	mu      sync.Mutex
 	queue   *admitter.Queue
-	// Callers maps ids of waiting requests to where their verdict goes.
-	callers map[uint64]chan admitter.Action
+	// waiters maps the ids of waiting requests to the channels that receive
+	// their verdicts.
+	waiters map[uint64]chan admitter.Action
 	nextID  uint64
 }
 
+// limiter returns the limiter of a service and creates it on first use.
 func (r *Router) limiter(service string) *limiter {
 	l, ok := r.limiters.Load(service)
 	if !ok {
 		s, _ := admitter.New(r.settings.Policy().Shedder())
 		l, _ = r.limiters.LoadOrStore(service, &limiter{
-			base: r.ledgerBase, retries: admitter.NewRetries(),
-			queue: admitter.NewQueue(admitter.DefaultBounds, s), callers: map[uint64]chan admitter.Action{},
+			epoch: r.ledgerBase, retries: admitter.NewRetries(),
+			queue: admitter.NewQueue(admitter.DefaultBounds, s), waiters: map[uint64]chan admitter.Action{},
 		})
 	}
 	return l.(*limiter)
 }
 
-// admit lets a request in, has it wait or refuses it before it is dispatched;
-// the returned function must be called when the request has ended.
+// admit waits until a request may be dispatched, or returns the reason why it
+// is refused. The caller must call the returned function when the request has
+// ended.
 func (r *Router) admit(ctx context.Context, q *request) (func(), error) {
 	now := time.Now()
 	set := r.candidates(q, now)
@@ -59,18 +63,20 @@
 	}
 	l := r.limiter(q.service.Name)
 	l.retries.First()
-	e := set.Service().Estimate(q.query(now), now.Sub(l.base))
-	if !l.enter(set, now, q.deadline.Sub(now) > e.Service) {
-		if err := l.wait(ctx, q, set, e); err != nil {
+	e := set.Service().Estimate(q.pickerQuery(now), now.Sub(l.epoch))
+	if !l.tryAdmit(set, now, q.deadline.Sub(now) > e.Service) {
+		if err := l.awaitVerdict(ctx, q, set, e); err != nil {
 			return nil, err
 		}
 	}
-	return func() { l.leave(set) }, nil
+	return func() { l.release(set) }, nil
 }
 
-// enter admits without the lock where there is room and nobody waits.
-func (l *limiter) enter(set *picker.Set, now time.Time, meets bool) bool {
-	if !meets || l.waiting.Load() > 0 {
+// tryAdmit admits a request without taking the lock. It returns false if the
+// request can't meet its deadline, if other requests wait, or if there is no
+// capacity; the request then has to go through the queue.
+func (l *limiter) tryAdmit(set *picker.Set, now time.Time, canMeetDeadline bool) bool {
+	if !canMeetDeadline || l.waiting.Load() > 0 {
 		return false
 	}
 	if l.inFlight.Add(1) <= int64(set.Room(now)) {
@@ -80,48 +86,50 @@
 	return false
 }
 
-// wait queues a request until its verdict.
-func (l *limiter) wait(ctx context.Context, q *request, set *picker.Set, e picker.Estimate) error {
+// awaitVerdict queues a request and blocks until it is admitted or refused, or
+// until ctx ends.
+func (l *limiter) awaitVerdict(ctx context.Context, q *request, set *picker.Set, e picker.Estimate) error {
 	verdict := make(chan admitter.Action, 1)
-	id := l.arrive(q, set, e, verdict)
-	t := time.NewTicker(recheck)
+	id := l.enqueue(q, set, e, verdict)
+	t := time.NewTicker(admissionPollInterval)
 	defer t.Stop()
 	for {
 		select {
 		case a := <-verdict:
-			return refusal(a)
+			return verdictError(a)
 		case <-t.C:
 			l.step(set, admitter.Event{Kind: admitter.Tick})
 		case <-ctx.Done():
-			return l.abandon(set, id, verdict, ctx.Err())
+			return l.cancelWait(set, id, verdict, ctx.Err())
 		}
 	}
 }
 
-func (l *limiter) arrive(q *request, set *picker.Set, e picker.Estimate, verdict chan admitter.Action) uint64 {
+// enqueue adds a request to the queue and returns its id there.
+func (l *limiter) enqueue(q *request, set *picker.Set, e picker.Estimate, verdict chan admitter.Action) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nextID++
 	id := l.nextID
-	l.callers[id] = verdict
-	l.locked(set, admitter.Event{Kind: admitter.Arrive, Request: admitter.Request{
-		ID: id, Workspace: q.key.Workspace(), Priority: q.priority, Deadline: q.deadline.Sub(l.base),
+	l.waiters[id] = verdict
+	l.stepLocked(set, admitter.Event{Kind: admitter.Arrive, Request: admitter.Request{
+		ID: id, Workspace: q.key.Workspace(), Priority: q.priority, Deadline: q.deadline.Sub(l.epoch),
 		Tokens: e.Tokens, Service: e.Service, Least: e.Least, Random: rand.Float64(),
 	}})
 	return id
 }
 
-// abandon takes out a request whose caller has gone. Where the verdict came
-// first, an admitted request gives its place back.
-func (l *limiter) abandon(set *picker.Set, id uint64, verdict chan admitter.Action, cause error) error {
+// cancelWait removes a request whose caller has gone from the queue. If the
+// request was admitted in the meantime, its slot is released.
+func (l *limiter) cancelWait(set *picker.Set, id uint64, verdict chan admitter.Action, cause error) error {
 	l.step(set, admitter.Event{Kind: admitter.Cancel, Request: admitter.Request{ID: id}})
 	l.mu.Lock()
-	delete(l.callers, id)
+	delete(l.waiters, id)
 	l.mu.Unlock()
 	select {
 	case a := <-verdict:
 		if a.Verdict == admitter.Start {
-			l.leave(set)
+			l.release(set)
 		}
 	default:
 	}
@@ -129,35 +137,40 @@
 	return &Problem{Status: http.StatusGatewayTimeout, Code: CodeDeadline, Outcome: NotRun, Detail: "ended while it waited: " + cause.Error(), After: retrySoon}
 }
 
-func (l *limiter) leave(set *picker.Set) {
+// release frees the slot of a request that has ended and lets waiting requests
+// use it.
+func (l *limiter) release(set *picker.Set) {
 	l.inFlight.Add(-1)
 	if l.waiting.Load() > 0 {
 		l.step(set, admitter.Event{Kind: admitter.Tick})
 	}
 }
 
+// step passes an event to the queue.
 func (l *limiter) step(set *picker.Set, e admitter.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.locked(set, e)
+	l.stepLocked(set, e)
 }
 
-// locked steps the queue and hands the verdicts out; l.mu is held.
-func (l *limiter) locked(set *picker.Set, e admitter.Event) {
+// stepLocked passes an event to the queue and sends the resulting verdicts to
+// the waiting requests. The caller holds l.mu.
+func (l *limiter) stepLocked(set *picker.Set, e admitter.Event) {
 	now := time.Now()
 	e.InFlight, e.Limit = int(l.inFlight.Load()), set.Room(now)
-	for _, a := range l.queue.Step(now.Sub(l.base), e) {
+	for _, a := range l.queue.Step(now.Sub(l.epoch), e) {
 		if a.Verdict == admitter.Start {
 			l.inFlight.Add(1)
 		}
-		l.callers[a.ID] <- a
-		delete(l.callers, a.ID)
+		l.waiters[a.ID] <- a
+		delete(l.waiters, a.ID)
 	}
 	l.waiting.Store(int64(l.queue.Waiting()))
 }
 
-// refusal turns a verdict into the answer to the caller, nil for admitted.
-func refusal(a admitter.Action) error {
+// verdictError converts a verdict into the error for the caller; it returns nil
+// if the request was admitted.
+func verdictError(a admitter.Action) error {
 	p := &Problem{Status: http.StatusServiceUnavailable, Code: CodeOverloaded, Outcome: NotRun, After: a.After}
 	switch a.Verdict {
 	case admitter.Start:
@@ -176,9 +189,9 @@
 	return p
 }
 
-// mayRetry draws a retry from the service's budget. A caller that has gone
-// gets none.
-func (r *Router) mayRetry(ctx context.Context, q *request) bool {
+// allowRetry takes one retry from the service's retry budget. It returns false
+// if the budget is used up or the caller has gone.
+func (r *Router) allowRetry(ctx context.Context, q *request) bool {
 	if ctx.Err() != nil {
 		return false
 	}
--- a/router/admit_test.go
+++ b/router/admit_test.go
@@ -18,35 +18,36 @@
 	"rattanhoist.example/rattanhoist/picker"
 )
 
-// limiterOf returns a limiter before one endpoint of a capacity.
-func limiterOf(capacity int64) (*limiter, *picker.Set) {
+// newTestLimiter returns a limiter and a candidate set of one endpoint with the
+// given capacity.
+func newTestLimiter(capacity int64) (*limiter, *picker.Set) {
 	now := time.Now()
 	s, _ := admitter.New(admitter.Deadline)
 	e := rattanhoist.NewEndpoint(rattanhoist.EndpointFields{Name: "e", Service: "llm", Capacity: capacity, Heard: now})
 	set := picker.NewLedger(now).NewSet("llm", "z", time.Hour, now, []*rattanhoist.Endpoint{e})
 	return &limiter{
-		base: now, retries: admitter.NewRetries(),
-		queue: admitter.NewQueue(admitter.DefaultBounds, s), callers: map[uint64]chan admitter.Action{},
+		epoch: now, retries: admitter.NewRetries(),
+		queue: admitter.NewQueue(admitter.DefaultBounds, s), waiters: map[uint64]chan admitter.Action{},
 	}, set
 }
 
-func waiter(workspace string, id int, left time.Duration) *request {
+// waitingRequest returns a request with the given time left until its deadline.
+func waitingRequest(workspace string, id int, left time.Duration) *request {
 	return &request{
 		key: rattanhoist.NewRequestKey(workspace, fmt.Sprint(id)), deadline: time.Now().Add(left),
 		service: &messenger.Service{Name: "llm"},
 	}
 }
 
-// Symptom: a request waits for ever though places are free, or more run at
-// once than the room allows.
-// Sequence: a hundred requests come at once, some of their callers leave
-// while they wait, the others end one after the other.
-// Cause: a place that is given to a caller that has left, or an end that
-// comes between the look at the room and the wait.
-func TestLimiterGivesEveryPlaceOn(t *testing.T) {
+// Guards against leaked slots, which leave requests waiting while capacity is
+// free, and against more requests in flight than the capacity. Either happens
+// if a slot is given to a caller that has left, or if a request ends between
+// another one's capacity check and its wait. A hundred requests arrive at once;
+// some callers give up while they wait.
+func TestLimiterReusesReleasedSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		l, set := limiterOf(4)
+		l, set := newTestLimiter(4)
 		room := int64(set.Room(time.Now()))
 		var inside, most, served, left atomic.Int64
 		var wg sync.WaitGroup
@@ -54,8 +55,8 @@
 			wg.Go(func() {
 				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(i%7+1)*time.Second)
 				defer cancel()
-				if !l.enter(set, time.Now(), true) {
-					if err := l.wait(ctx, waiter(fmt.Sprint(i%3), i, time.Hour), set, picker.Estimate{}); err != nil {
+				if !l.tryAdmit(set, time.Now(), true) {
+					if err := l.awaitVerdict(ctx, waitingRequest(fmt.Sprint(i%3), i, time.Hour), set, picker.Estimate{}); err != nil {
 						var p *Problem
 						if !errors.As(err, &p) || p.Outcome != NotRun {
 							t.Errorf("want a refusal that says not run, got %v", err)
@@ -70,7 +71,7 @@
 				time.Sleep(300 * time.Millisecond)
 				inside.Add(-1)
 				served.Add(1)
-				l.leave(set)
+				l.release(set)
 			})
 		}
 		wg.Wait()
@@ -79,24 +80,23 @@
 		g.Expect(left.Load()).To(gomega.BeNumerically(">", 0))
 		g.Expect(l.inFlight.Load()).To(gomega.BeZero())
 		g.Expect(l.waiting.Load()).To(gomega.BeZero())
-		g.Expect(l.callers).To(gomega.BeEmpty())
+		g.Expect(l.waiters).To(gomega.BeEmpty())
 	})
 }
 
-// Symptom: a caller hears at its deadline that its request never began.
-// Sequence: the only place is taken; the time left falls below what an answer
-// takes.
-// Cause: the wait ends only with the deadline.
-func TestLimiterRefusesAsSoonAsDeadlineIsLost(t *testing.T) {
+// Guards against a wait that ends only at the deadline. The only slot is taken;
+// the request must be refused as soon as the time left is shorter than the
+// shortest time in which an answer can be produced.
+func TestLimiterRefusesOnceDeadlineCannotBeMet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		l, set := limiterOf(1)
-		g.Expect(l.enter(set, time.Now(), true)).To(gomega.BeTrue())
+		l, set := newTestLimiter(1)
+		g.Expect(l.tryAdmit(set, time.Now(), true)).To(gomega.BeTrue())
 		began := time.Now()
-		err := l.wait(context.Background(), waiter("w", 1, 10*time.Second), set, picker.Estimate{Service: 4 * time.Second, Least: 3 * time.Second})
+		err := l.awaitVerdict(context.Background(), waitingRequest("w", 1, 10*time.Second), set, picker.Estimate{Service: 4 * time.Second, Least: 3 * time.Second})
 		g.Expect(problemOf(err).Code).To(gomega.Equal(CodeOverloaded))
 		g.Expect(problemOf(err).Outcome).To(gomega.Equal(NotRun))
 		g.Expect(problemOf(err).After).To(gomega.BeNumerically(">", 0))
-		g.Expect(time.Since(began)).To(gomega.BeNumerically("~", 7*time.Second, 2*recheck))
+		g.Expect(time.Since(began)).To(gomega.BeNumerically("~", 7*time.Second, 2*admissionPollInterval))
 	})
 }
--- a/router/announce.go
+++ b/router/announce.go
@@ -15,15 +15,19 @@
 )
 
 const (
-	maxAnnouncement = 64 << 10
-	// renewAfter is how soon an endpoint is asked to announce again: an age
-	// counts from the announcement before, and may pass two routers.
-	renewAfter = 500 * time.Millisecond
+	// maxAnnouncementBytes bounds the body of an announcement.
+	maxAnnouncementBytes = 64 << 10
+	// renewInterval is the time after which an endpoint should announce itself
+	// again. The age of an endpoint counts from its previous announcement and
+	// may grow on the way through two routers, so this is well below the
+	// maximum age.
+	renewInterval = 500 * time.Millisecond
 )
 
-// endpointVars holds the tracker's counters of each router in the process.
+// endpointVars publishes the tracker statistics of each router in the process.
 var endpointVars = expvar.NewMap("endpoints")
 
+// newTracker creates the endpoint tracker and publishes its statistics.
 func newTracker(s *loader.Settings, self loader.Process) *tracker.Tracker {
 	t := tracker.New(tracker.Options{
 		MaxAge: s.Policy().EndpointMaxAge(), Incarnation: rattanhoist.Incarnation(time.Now().UnixNano()),
@@ -33,40 +37,42 @@
 	return t
 }
 
-// announceReply answers an announcement.
+// announceReply is the response to an announcement.
 type announceReply struct {
-	// Token goes into the next announcement to this router.
+	// Token must be sent in the next announcement to this router.
 	Token string `json:"token"`
-	// Usable reports whether the endpoint may get work now.
+	// Usable reports whether requests may be sent to the endpoint now.
 	Usable       bool  `json:"usable"`
 	RenewAfterMs int64 `json:"renew_after_ms"`
 }
 
-// announce takes an endpoint's message about itself.
-func (r *Router) announce(w http.ResponseWriter, h *http.Request) {
+// handleAnnounce serves POST /v1/endpoints, by which endpoints register and
+// renew themselves.
+func (r *Router) handleAnnounce(w http.ResponseWriter, h *http.Request) {
 	var a tracker.Announcement
-	d := json.NewDecoder(http.MaxBytesReader(w, h.Body, maxAnnouncement))
+	d := json.NewDecoder(http.MaxBytesReader(w, h.Body, maxAnnouncementBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&a); err != nil {
-		badJSON(err).write(w)
+		jsonProblem(err).write(w)
 		return
 	}
 	now := rattanhoist.MomentOf(time.Now())
-	done, err := r.tracker.Announce(a, now)
+	result, err := r.tracker.Announce(a, now)
 	if err != nil {
 		announceProblem(err).write(w)
 		return
 	}
-	if done.Left {
+	if result.Left {
 		r.log.Info("endpoint leaves", zap.String("endpoint", a.Name), zap.Uint64("incarnation", a.Incarnation))
-		r.gossip.pushLeft(a.Name)
+		r.gossip.pushLeaving(a.Name)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(announceReply{
-		Token: r.tracker.Token(now), Usable: done.Usable, RenewAfterMs: renewAfter.Milliseconds(),
+		Token: r.tracker.Token(now), Usable: result.Usable, RenewAfterMs: renewInterval.Milliseconds(),
 	})
 }
 
+// announceProblem converts a tracker error into the response to the endpoint.
 func announceProblem(err error) *Problem {
 	var field *tracker.FieldError
 	switch {
--- a/router/announce_test.go
+++ b/router/announce_test.go
@@ -9,8 +9,9 @@
 	"github.com/onsi/gomega"
 )
 
-// announcing posts one announcement and returns the status and the answer.
-func announcing(r *Router, fields string) (status string, reply announceReply, text string) {
+// postAnnouncement posts an announcement and returns its status, its decoded
+// reply and the raw response.
+func postAnnouncement(r *Router, fields string) (status string, reply announceReply, text string) {
 	out := send(r, "POST /v1/endpoints", "Authorization: Bearer "+testSecret, fields)
 	status, text, _ = strings.Cut(out, " ")
 	_, body, _ := strings.Cut(text, "\n")
@@ -18,30 +19,33 @@
 	return status, reply, text
 }
 
-func announcementOf(r *Router, name string, sequence int, token, more string) string {
+// announcementJSON returns the JSON of an announcement; more holds additional
+// fields.
+func announcementJSON(r *Router, name string, sequence int, token, more string) string {
 	return fmt.Sprintf(`{"name": %q, "service": "llm", "zone": %q, "address": "10.0.0.1:9000", "incarnation": 1, "sequence": %d, "capacity": 4, "token": %q%s}`,
 		name, r.self.Zone(), sequence, token, more)
 }
 
-// TestEndpointIsUsedOnceItReturnsTheToken walks through an endpoint's life at
-// one router, as the operator's page tells it.
+// TestEndpointIsUsedOnceItReturnsTheToken covers the registration of an
+// endpoint as the operator's guide describes it: the first announcement, the
+// token, an address that is taken, and leaving.
 func TestEndpointIsUsedOnceItReturnsTheToken(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newTestRouter(t)
-	status, reply, _ := announcing(r, announcementOf(r, "e1", 1, "", ""))
+	status, reply, _ := postAnnouncement(r, announcementJSON(r, "e1", 1, "", ""))
 	g.Expect(status).To(gomega.Equal("200"))
 	g.Expect(reply.Usable).To(gomega.BeFalse())
 	g.Expect(r.usableEndpoints()).To(gomega.BeEmpty())
-	status, reply, _ = announcing(r, announcementOf(r, "e1", 2, reply.Token, ""))
+	status, reply, _ = postAnnouncement(r, announcementJSON(r, "e1", 2, reply.Token, ""))
 	g.Expect(status).To(gomega.Equal("200"))
 	g.Expect(reply.Usable).To(gomega.BeTrue())
 	g.Expect(r.usableEndpoints()).To(gomega.HaveLen(1))
-	status, _, text := announcing(r, announcementOf(r, "e2", 1, reply.Token, ""))
+	status, _, text := postAnnouncement(r, announcementJSON(r, "e2", 1, reply.Token, ""))
 	g.Expect(status).To(gomega.Equal("409"))
 	g.Expect(text).To(gomega.ContainSubstring(`"code":"address_taken","field":"address"`))
-	_, reply, _ = announcing(r, announcementOf(r, "e1", 3, reply.Token, `, "leaving": true`))
+	_, reply, _ = postAnnouncement(r, announcementJSON(r, "e1", 3, reply.Token, `, "leaving": true`))
 	g.Expect(reply.Usable).To(gomega.BeFalse())
-	_, reply, _ = announcing(r, announcementOf(r, "e1", 4, reply.Token, ""))
+	_, reply, _ = postAnnouncement(r, announcementJSON(r, "e1", 4, reply.Token, ""))
 	g.Expect(reply.Usable).To(gomega.BeFalse(), "leaving is final for an incarnation")
 	g.Expect(r.usableEndpoints()).To(gomega.BeEmpty())
 }
@@ -56,7 +60,7 @@
 		`, "address": "elsewhere:80"`: "address",
 		`, "zone": "nowhere"`:         "zone",
 	} {
-		status, _, text := announcing(r, announcementOf(r, "e1", 1, "", more))
+		status, _, text := postAnnouncement(r, announcementJSON(r, "e1", 1, "", more))
 		g.Expect(status).To(gomega.Equal("400"), more)
 		g.Expect(text).To(gomega.ContainSubstring(`"field":"`+field+`"`), more)
 	}
--- a/router/answer_message.go
+++ b/router/answer_message.go
@@ -9,11 +9,13 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-func askOf(q *request, joinOnly bool) *messenger.AnswerRequest {
+// toAnswerRequest encodes a request for the Answer call to another router. The
+// timeout is shorter than the time left by deadlineMargin.
+func toAnswerRequest(q *request, joinOnly bool) *messenger.AnswerRequest {
 	return &messenger.AnswerRequest{
 		Workspace: q.key.Workspace(), RequestId: q.key.RequestID(), Digest: q.digest[:],
 		Service: q.service.Name, Method: q.method, Path: q.path, Query: q.rawQuery,
-		Headers: fieldsOf(q.header), Body: q.body, MaxAnswerTokens: q.maxAnswer, WorstTokens: int64(q.worst),
+		Headers: toHeaderFields(q.header), Body: q.body, MaxAnswerTokens: q.maxAnswer, WorstTokens: int64(q.worst),
 		Repeatable: q.repeatable, Priority: int32(q.priority), Prefix: q.prefix,
 		TimeoutMs: (time.Until(q.deadline) - deadlineMargin).Milliseconds(),
 		JoinOnly:  joinOnly, OwnId: q.ownID, TicketZone: q.ticket.zone, TicketStore: q.ticket.store,
@@ -21,11 +23,12 @@
 	}
 }
 
-// requestOf rebuilds a request against this router's configuration.
-func (r *Router) requestOf(a *messenger.AnswerRequest) (*request, error) {
+// fromAnswerRequest decodes a request from another router and resolves its
+// service and workspace in this router's configuration.
+func (r *Router) fromAnswerRequest(a *messenger.AnswerRequest) (*request, error) {
 	notReady := &Problem{Status: http.StatusServiceUnavailable, Code: CodeNotReady, Outcome: NotRun, Detail: "the home router does not know the configuration or its zone's routers yet", After: retrySoon}
 	s := r.snapshot.Load()
-	if s == nil || !a.JoinOnly && !r.homes.settled() || len(a.Digest) != len(joiner.Digest{}) {
+	if s == nil || !a.JoinOnly && !r.peers.settled() || len(a.Digest) != len(joiner.Digest{}) {
 		return nil, notReady
 	}
 	service, err := s.Service(a.Service)
@@ -39,7 +42,7 @@
 	return &request{
 		key: rattanhoist.NewRequestKey(a.Workspace, a.RequestId), workspace: workspace, service: service,
 		digest: joiner.Digest(a.Digest), method: a.Method, path: a.Path, rawQuery: a.Query,
-		header: headerOf(a.Headers), body: a.Body, maxAnswer: a.MaxAnswerTokens, worst: rattanhoist.Tokens(a.WorstTokens),
+		header: fromHeaderFields(a.Headers), body: a.Body, maxAnswer: a.MaxAnswerTokens, worst: rattanhoist.Tokens(a.WorstTokens),
 		streamed: a.Streamed, repeatable: a.Repeatable, priority: int(a.Priority), prefix: a.Prefix,
 		deadline: time.Now().Add(time.Duration(a.TimeoutMs) * time.Millisecond),
 		ownID:    a.OwnId, ticket: ticket{zone: a.TicketZone, store: a.TicketStore},
@@ -47,23 +50,26 @@
 	}, nil
 }
 
-func answerOf(e *messenger.AnswerEnd) *joiner.Answer {
+// fromAnswerEnd decodes the final message of an answer.
+func fromAnswerEnd(e *messenger.AnswerEnd) *joiner.Answer {
 	return &joiner.Answer{
 		Endpoint: e.Endpoint, PromptTokens: e.PromptTokens, AnswerTokens: e.AnswerTokens, Length: e.Length,
 		Digest: e.Digest, FinishReason: e.FinishReason, Charged: rattanhoist.Tokens(e.ChargedTokens),
-		Status: int(e.Status), Header: headerOf(e.Headers),
+		Status: int(e.Status), Header: fromHeaderFields(e.Headers),
 	}
 }
 
-func endOf(a *joiner.Answer) *messenger.AnswerEnd {
+// toAnswerEnd encodes the final message of an answer.
+func toAnswerEnd(a *joiner.Answer) *messenger.AnswerEnd {
 	return &messenger.AnswerEnd{
 		Endpoint: a.Endpoint, PromptTokens: a.PromptTokens, AnswerTokens: a.AnswerTokens, Length: a.Length,
 		Digest: a.Digest, FinishReason: a.FinishReason, ChargedTokens: int64(a.Charged),
-		Status: int32(a.Status), Headers: fieldsOf(a.Header),
+		Status: int32(a.Status), Headers: toHeaderFields(a.Header),
 	}
 }
 
-func fieldsOf(h http.Header) []*messenger.HeaderField {
+// toHeaderFields encodes HTTP headers.
+func toHeaderFields(h http.Header) []*messenger.HeaderField {
 	var out []*messenger.HeaderField
 	for name, values := range h {
 		out = append(out, &messenger.HeaderField{Name: name, Values: values})
@@ -71,7 +77,8 @@
 	return out
 }
 
-func headerOf(fields []*messenger.HeaderField) http.Header {
+// fromHeaderFields decodes HTTP headers.
+func fromHeaderFields(fields []*messenger.HeaderField) http.Header {
 	h := http.Header{}
 	for _, f := range fields {
 		h[f.Name] = f.Values
--- a/router/bad_input_test.go
+++ b/router/bad_input_test.go
@@ -40,8 +40,9 @@
 `
 )
 
-// newTestRouter returns a router that has a configuration and serves nothing;
-// more settings may name siblings.
+// newTestRouter returns a router that has a configuration but no listeners. The
+// strings in more are appended to its settings, for example to add routers of
+// the same zone.
 func newTestRouter(t *testing.T, more ...string) *Router {
 	t.Helper()
 	dir := t.TempDir()
@@ -72,8 +73,8 @@
 	return r
 }
 
-// TestBadInput records what a caller or an endpoint reads for each kind of
-// faulty input, and that nothing was taken in.
+// TestBadInput compares the responses to invalid input with a golden file and
+// checks that no endpoint was registered and no budget stays reserved.
 func TestBadInput(t *testing.T) {
 	const chat, good = "POST /v1/chat/completions", `{"model": "m", "messages": [{"role": "user", "content": "x"}]`
 	bearer := "Authorization: Bearer " + testKey
@@ -116,6 +117,8 @@
 	g.Expect(r.money.Held()).To(gomega.BeZero())
 }
 
+// send passes a request to the router's HTTP handler and returns the status,
+// the content type and the body.
 func send(r *Router, target, headers, body string) string {
 	method, path, _ := strings.Cut(target, " ")
 	q := httptest.NewRequest(method, path, strings.NewReader(body))
--- a/router/caller_test.go
+++ b/router/caller_test.go
@@ -8,8 +8,9 @@
 	"github.com/onsi/gomega"
 )
 
-// ended reports how the run of a request ended: "end", "broken" or "".
-func (f *fleet) ended(endpoint, id string) string {
+// runEnd reports how the run of a request ended: "end", "broken", or "" if it
+// has not ended.
+func (f *fleet) runEnd(endpoint, id string) string {
 	for _, r := range f.Runs(endpoint) {
 		if r.RequestID == workspace+"/"+id && r.Event != "begin" {
 			return r.Event
@@ -18,14 +19,11 @@
 	return ""
 }
 
-// TestCallerGone
-// Symptom: an engine goes on for callers that have gone, or a caller that
-// comes back at once starts over.
-// Sequence: a caller leaves in the middle and comes back through the other
-// router; another leaves for good.
-// Cause it guards against: a run that belongs to the connection that began it,
-// or to nobody.
-func TestCallerGone(t *testing.T) {
+// TestCallerDisconnects guards against runs that are tied to the connection that
+// started them, or to nothing. A caller that disconnects and retries through
+// the other router must get the same run; the run of a caller that stays away
+// must be cancelled and not billed.
+func TestCallerDisconnects(t *testing.T) {
 	f := startZone(t, 81, "10ms")
 	leave := func(id string) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -43,16 +41,14 @@
 	f.g.Expect(err).NotTo(gomega.HaveOccurred())
 	f.g.Expect(f.runs("llm-1")["comes-back"]).To(gomega.Equal(1))
 	leave("gone")
-	f.Eventually("the engine is free again", func() bool { return f.ended("llm-1", "gone") == "broken" })
+	f.Eventually("the engine is free again", func() bool { return f.runEnd("llm-1", "gone") == "broken" })
 	f.g.Expect(f.billed("gone")).To(gomega.BeZero())
 }
 
-// TestDeadlineIsAnsweredAtOnce
-// Symptom: a caller waits past its deadline, or is told "not run" of a request
-// that an engine has.
-// Sequence: the engine stalls in the middle; the deadline passes; a request
-// for which there is no room is refused without a run.
-// Cause it guards against: waits that are bounded by something else.
+// TestDeadlineIsAnsweredAtOnce guards against waits that are not bounded by the
+// caller's deadline, and against the outcome "not run" for a request that
+// reached an engine. The engine stalls in the middle of an answer until the
+// deadline passes.
 func TestDeadlineIsAnsweredAtOnce(t *testing.T) {
 	f := startZone(t, 82, "5ms")
 	for _, stream := range []bool{true, false} {
@@ -62,7 +58,7 @@
 		began := time.Now()
 		_, err := c.Do(context.Background())
 		f.g.Expect(time.Since(began)).To(gomega.BeNumerically("<", 2*time.Second))
-		r := refused(err)
+		r := refusalOf(err)
 		f.g.Expect(r).NotTo(gomega.BeNil(), "%v", err)
 		f.g.Expect(r.Outcome).To(gomega.Equal("unknown"), "%v", err)
 		f.g.Expect(f.runs("llm-1")[c.RequestID]).To(gomega.BeNumerically(">=", 1))
--- a/router/candidates.go
+++ b/router/candidates.go
@@ -13,89 +13,101 @@
 )
 
 const (
-	// tableRefresh is how long a candidate table serves after the endpoints
-	// changed; announcements come all the time, and a rebuild on each would
-	// cost more than the requests.
-	tableRefresh = 50 * time.Millisecond
-	// tableStale is the age from which a request waits for the rebuild.
-	tableStale = 500 * time.Millisecond
+	// tableRefreshInterval is the minimum time between two updates of a
+	// candidate table. Announcements arrive all the time; an update for each of
+	// them would cost more than serving the requests.
+	tableRefreshInterval = 50 * time.Millisecond
+	// tableMaxAge is the age at which requests wait for an update of the table
+	// instead of using the last one.
+	tableMaxAge = 500 * time.Millisecond
 )
 
-// grants caches the candidate tables of one configuration version.
-type grants struct {
+// candidateCache holds the candidate tables of one configuration version.
+type candidateCache struct {
 	snapshot *configurer.Snapshot
-	// Pairs maps a pair to its *candidateTable.
-	pairs sync.Map
-	// Tables maps service and matching statements to a *candidateTable:
-	// thousands of workspaces under the same statements share one.
-	tables sync.Map
+	// byCaller maps a workspaceService to its *candidateTable.
+	byCaller sync.Map
+	// byGrant maps a tableKey to its *candidateTable. Thousands of workspaces
+	// with the same matching statements share one table.
+	byGrant sync.Map
 }
 
-// pair names who asks for what; configuration objects are never changed, so
-// their addresses identify them within one version.
-type pair struct {
+// workspaceService identifies a caller's workspace and the requested service.
+// Configuration objects are immutable, so their addresses identify them within
+// one configuration version.
+type workspaceService struct {
 	workspace *configurer.Workspace
 	service   *messenger.Service
 }
 
+// tableKey identifies a service and the statements that grant access to it.
 type tableKey struct{ service, grant string }
 
-// candidateTable holds the newest table of one group of workspaces.
+// candidateTable holds the latest candidates for all workspaces that have the
+// same access to a service.
 type candidateTable struct {
 	service string
 	grant   configurer.Grant
-	built   atomic.Pointer[builtTable]
+	latest  atomic.Pointer[builtTable]
 	mu      sync.Mutex
 }
 
+// builtTable is one state of a candidate table.
 type builtTable struct {
 	set *picker.Set
-	// From tells whether endpoints came, went or changed their labels; load
-	// and age are renewed in place.
-	from *tracker.Table
-	// Revision is that of the news whose load reports have been noted.
+	// endpoints is the tracker's table that set was built from. It is replaced
+	// when endpoints appear, disappear or change their labels; load and age are
+	// updated in place.
+	endpoints *tracker.Table
+	// revision is the tracker revision up to which load reports have been
+	// applied.
 	revision uint64
-	at       time.Time
+	builtAt  time.Time
 }
 
-// candidates returns the table of endpoints that statements allow.
+// candidates returns the endpoints that the statements allow for a request.
 func (r *Router) candidates(q *request, now time.Time) *picker.Set {
-	return r.table(r.currentGrants(), pair{q.workspace, q.service}).current(r, now)
+	return r.candidateTable(r.currentCandidates(), workspaceService{q.workspace, q.service}).current(r, now)
 }
 
-func (r *Router) currentGrants() *grants {
+// currentCandidates returns the cache for the configuration in use and replaces
+// the cache of an earlier version.
+func (r *Router) currentCandidates() *candidateCache {
 	s := r.snapshot.Load()
-	g := r.grants.Load()
+	g := r.candidateTables.Load()
 	if g != nil && g.snapshot == s {
 		return g
 	}
-	made := &grants{snapshot: s}
-	if r.grants.CompareAndSwap(g, made) {
-		return made
+	fresh := &candidateCache{snapshot: s}
+	if r.candidateTables.CompareAndSwap(g, fresh) {
+		return fresh
 	}
-	return r.currentGrants()
+	return r.currentCandidates()
 }
 
-func (r *Router) table(g *grants, p pair) *candidateTable {
-	if t, ok := g.pairs.Load(p); ok {
+// candidateTable returns the table for a workspace and a service and creates it
+// on first use.
+func (r *Router) candidateTable(g *candidateCache, p workspaceService) *candidateTable {
+	if t, ok := g.byCaller.Load(p); ok {
 		return t.(*candidateTable)
 	}
 	grant := g.snapshot.Grant(p.workspace, p.service)
-	t, _ := g.tables.LoadOrStore(tableKey{p.service.Name, grant.Key()}, &candidateTable{service: p.service.Name, grant: grant})
-	g.pairs.Store(p, t)
+	t, _ := g.byGrant.LoadOrStore(tableKey{p.service.Name, grant.Key()}, &candidateTable{service: p.service.Name, grant: grant})
+	g.byCaller.Store(p, t)
 	return t.(*candidateTable)
 }
 
-// current returns the newest table, rebuilt where the endpoints changed. One
-// request rebuilds while the others use the last table, but for one that is
-// stale: an idle router's table may be hours old.
+// current returns the latest candidates and updates the table if the tracker
+// has news. One request updates the table while others use the previous one,
+// unless that is older than tableMaxAge: the table of an idle router may be
+// hours old.
 func (t *candidateTable) current(r *Router, now time.Time) *picker.Set {
 	revision := r.tracker.Revision()
-	b := t.built.Load()
-	if b != nil && (b.revision == revision || now.Sub(b.at) < tableRefresh) {
+	b := t.latest.Load()
+	if b != nil && (b.revision == revision || now.Sub(b.builtAt) < tableRefreshInterval) {
 		return b.set
 	}
-	if b != nil && now.Sub(b.at) < tableStale {
+	if b != nil && now.Sub(b.builtAt) < tableMaxAge {
 		if !t.mu.TryLock() {
 			return b.set
 		}
@@ -103,27 +115,28 @@
 		t.mu.Lock()
 	}
 	defer t.mu.Unlock()
-	if c := t.built.Load(); c != b && c.revision == revision {
+	if c := t.latest.Load(); c != b && c.revision == revision {
 		return c.set
 	}
-	return t.renew(r, b, revision, now)
+	return t.update(r, b, revision, now)
 }
 
-// renew notes load reports, or builds a new table where endpoints changed;
-// t.mu is held.
-func (t *candidateTable) renew(r *Router, b *builtTable, revision uint64, now time.Time) *picker.Set {
-	n := &builtTable{from: r.tracker.Table(), revision: revision, at: now}
-	if b != nil && b.from == n.from {
+// update applies new load reports, or builds a new set if the endpoints have
+// changed. The caller holds t.mu.
+func (t *candidateTable) update(r *Router, b *builtTable, revision uint64, now time.Time) *picker.Set {
+	n := &builtTable{endpoints: r.tracker.Table(), revision: revision, builtAt: now}
+	if b != nil && b.endpoints == n.endpoints {
 		n.set = b.set
 		n.set.Refresh()
 	} else {
-		n.set = r.newSet(t, n.from, now)
+		n.set = r.buildSet(t, n.endpoints, now)
 	}
-	t.built.Store(n)
+	t.latest.Store(n)
 	return n.set
 }
 
-func (r *Router) newSet(t *candidateTable, from *tracker.Table, now time.Time) *picker.Set {
+// buildSet builds a set of the service's endpoints that the statements allow.
+func (r *Router) buildSet(t *candidateTable, from *tracker.Table, now time.Time) *picker.Set {
 	var allowed []*rattanhoist.Endpoint
 	for _, e := range from.Service(t.service) {
 		if t.grant.Allows(e) {
--- a/router/fields.go
+++ b/router/chat_fields.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// chatFields are the fields of a chat completion request that client
-// libraries send. Others are refused: a misspelt max_tokens would otherwise
-// cost the workspace an answer of the largest size, and go unseen.
+// chatFields are the fields of a chat completion request that client libraries
+// send. Others are refused: a misspelled max_tokens would otherwise go
+// unnoticed and could cost the workspace an answer of the maximum size.
 var chatFields = []string{
 	"audio", "chat_template_kwargs", "frequency_penalty", "function_call", "functions",
 	"logit_bias", "logprobs", "max_completion_tokens", "max_tokens", "messages", "metadata",
@@ -21,7 +21,8 @@
 	"user", "verbosity", "web_search_options",
 }
 
-// decodeChat reads a chat completion request and names the field at fault.
+// decodeChat decodes a chat completion request and reports the first invalid
+// field.
 func decodeChat(body []byte, b *chatBody) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -38,7 +39,7 @@
 		return badField(unknown[0], "unknown: "+strings.Join(unknown, ", "))
 	}
 	if err := json.Unmarshal(body, b); err != nil {
-		return badJSON(err)
+		return jsonProblem(err)
 	}
 	if b.N != nil && *b.N != 1 {
 		return badField("n", "want 1: one request gets one answer")
@@ -46,8 +47,8 @@
 	return nil
 }
 
-// badJSON names the field that a decoder stumbled over.
-func badJSON(err error) *Problem {
+// jsonProblem converts a decoding error into a Problem that names the field.
+func jsonProblem(err error) *Problem {
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) && wrong.Field != "" {
 		return badField(wrong.Field, fmt.Sprintf("want %s, not %s", wrong.Type, wrong.Value))
--- a/router/choose.go
+++ b/router/choose.go
@@ -14,6 +14,7 @@
 	"rattanhoist.example/rattanhoist/tracer"
 )
 
+// pickerName returns name, or the default picker if name is empty.
 func (r *Router) pickerName(name string) string {
 	if name == "" {
 		return r.settings.Policy().Picker()
@@ -21,6 +22,8 @@
 	return name
 }
 
+// pickReason describes the state of the chosen endpoint for the decision
+// record.
 func pickReason(picker string, c *picker.Candidate) string {
 	state := ""
 	if c.Stats().Ejected() {
@@ -30,31 +33,33 @@
 		picker, c.Stats().InFlight(), c.Endpoint().Load(), c.Endpoint().Capacity(), state)
 }
 
+// picker returns the picker with a name and creates it on first use.
 func (r *Router) picker(name string) picker.Picker {
 	name = r.pickerName(name)
 	p, ok := r.pickers.Load(name)
 	if !ok {
-		made, _ := picker.New(name)
-		p, _ = r.pickers.LoadOrStore(name, made)
+		created, _ := picker.New(name)
+		p, _ = r.pickers.LoadOrStore(name, created)
 	}
 	return p.(picker.Picker)
 }
 
-// promptBytes is how many bytes of a prompt make a token, about.
-const promptBytes = 4
+// bytesPerPromptToken is the ratio used to estimate the tokens of a prompt.
+const bytesPerPromptToken = 4
 
-func (q *request) query(now time.Time) picker.Query {
+// pickerQuery describes the request to the picker.
+func (q *request) pickerQuery(now time.Time) picker.Query {
 	return picker.Query{
-		Now: now, Deadline: q.deadline, Prefix: q.prefix, PromptTokens: int64(len(q.body)) / promptBytes,
+		Now: now, Deadline: q.deadline, Prefix: q.prefix, PromptTokens: int64(len(q.body)) / bytesPerPromptToken,
 		MaxAnswer: q.maxAnswer, NotRepeatable: !q.repeatable, Seed: rand.Uint64(),
 	}
 }
 
-// pick returns an endpoint that may serve the request and is not in tried.
+// pick chooses an endpoint for the request, leaving out those in tried.
 func (r *Router) pick(ctx context.Context, q *request, tried map[string]bool) (*rattanhoist.Endpoint, error) {
 	now := time.Now()
 	set := r.candidates(q, now)
-	p := q.query(now)
+	p := q.pickerQuery(now)
 	for name := range tried {
 		p.Tried = append(p.Tried, r.ledger.Known(name))
 	}
@@ -76,42 +81,46 @@
 	return c.Endpoint(), nil
 }
 
-// sent is one dispatch, for what later picks learn of it.
-type sent struct {
-	run   picker.Run
-	begun bool
-	// Texts counts the texts of the answer that have come.
-	texts int64
-	// Cached is the cached part of the prompt in tokens, -1 where unknown.
-	cached int64
+// dispatchStats collects the measurements of one dispatch, from which the
+// picker learns.
+type dispatchStats struct {
+	run     picker.Run
+	gotText bool
+	// textCount counts the pieces of answer text received.
+	textCount int64
+	// cachedTokens is the part of the prompt that the engine had cached, or -1
+	// if it is not known.
+	cachedTokens int64
 }
 
-// began notes the dispatch of a request to an endpoint.
-func (r *Router) began(q *request, e *rattanhoist.Endpoint) *sent {
-	return &sent{cached: -1, run: r.ledger.BeginAt(e, q.query(time.Now()))}
+// beginDispatch starts the measurements of a dispatch to an endpoint.
+func (r *Router) beginDispatch(q *request, e *rattanhoist.Endpoint) *dispatchStats {
+	return &dispatchStats{cachedTokens: -1, run: r.ledger.BeginAt(e, q.pickerQuery(time.Now()))}
 }
 
-// text notes a text of the answer.
-func (s *sent) text() {
+// recordText counts a piece of answer text and reports the progress to the
+// picker.
+func (s *dispatchStats) recordText() {
 	now := time.Now()
-	if !s.begun {
-		s.begun = true
+	if !s.gotText {
+		s.gotText = true
 		s.run.First(now)
 	}
-	s.texts++
-	s.run.Text(now, s.texts)
+	s.textCount++
+	s.run.Text(now, s.textCount)
 }
 
-// end notes how the run ended. A caller that left or a deadline that passed
-// is no fault of the endpoint's, nor is an announcement that grew too old.
-func (s *sent) end(a *joiner.Answer, err error) {
+// finish reports the result of the dispatch to the picker. A cancellation by
+// the caller, an expired deadline or an announcement that became too old does
+// not count as a failure of the endpoint.
+func (s *dispatchStats) finish(a *joiner.Answer, err error) {
 	var answerTokens int64
 	if a != nil {
 		answerTokens = a.AnswerTokens
 	}
-	gone := errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) ||
+	notEndpointFault := errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) ||
 		errors.Is(err, rattanhoist.ErrNoEndpoint)
 	s.run.End(time.Now(), picker.Outcome{
-		AnswerTokens: answerTokens, CachedTokens: s.cached, Whole: err == nil, Fault: err != nil && !gone,
+		AnswerTokens: answerTokens, CachedTokens: s.cachedTokens, Whole: err == nil, Fault: err != nil && !notEndpointFault,
 	}, rand.Float64())
 }
--- a/router/choose_test.go
+++ b/router/choose_test.go
@@ -7,6 +7,8 @@
 	"github.com/onsi/gomega"
 )
 
+// TestCachedTokensOfUsage checks that missing usage details are reported as
+// unknown (-1) and not as 0.
 func TestCachedTokensOfUsage(t *testing.T) {
 	for text, want := range map[string]int64{
 		`{"prompt_tokens":9}`: -1,
--- a/router/claim.go
+++ b/router/claim.go
@@ -13,17 +13,20 @@
 )
 
 const (
-	// settleTimeout bounds the resends of a claim's end: without it a keeper
-	// that is cut off would hold one goroutine for each claim.
+	// settleTimeout bounds the retries of a settle call. Without it, a keeper
+	// that can't be reached would hold one goroutine for each claim.
 	settleTimeout = 30 * time.Second
-	// runningSlack is how long past its holder's deadline a claim is called
-	// running; it covers the difference of the VMs' clocks.
-	runningSlack = 5 * time.Second
+	// clockSkewAllowance is how long after its holder's deadline a claim still
+	// counts as running. It covers the clock differences between VMs.
+	clockSkewAllowance = 5 * time.Second
 )
 
-// claimKeepers are the keepers that decide claims, by zone; immutable.
+// claimKeepers maps the names of keepers to their claim clients. It is
+// immutable.
 type claimKeepers map[string]messenger.ClaimKeeperClient
 
+// newClaimKeepers connects to all keepers; the returned function closes the
+// connections.
 func newClaimKeepers(s *loader.Settings, d *messenger.Dialer) (claimKeepers, func(), error) {
 	k := claimKeepers{}
 	var opened cleanUps
@@ -39,15 +42,16 @@
 	return k, opened.run, nil
 }
 
-// claim is one attempt of this router to run a request at most once.
+// claim is one attempt of this router to get the exclusive right to run a
+// request that must run at most once.
 type claim struct {
 	request *request
 	holder  *messenger.Holder
 	voters  []messenger.ClaimKeeperClient
 }
 
-// newClaim returns an attempt at the keepers that decide the request: the one
-// that its ticket names, or all of them.
+// newClaim returns an attempt whose voters are the keeper that the request's
+// ticket names, or all keepers if there is no ticket.
 func (r *Router) newClaim(q *request) *claim {
 	c := &claim{request: q, holder: &messenger.Holder{
 		Router: r.self.Name(), Incarnation: uint64(r.incarnation), Attempt: r.attempts.Add(1),
@@ -64,19 +68,19 @@
 	return c
 }
 
-// vote is what one keeper answered; nil is nothing.
+// vote is the reply of one keeper; reply is nil if the keeper did not answer.
 type vote struct {
 	voter int
 	reply *messenger.ClaimReply
 }
 
-// take asks the voters and returns the verdict with the row of the attempt
-// that holds the claim instead.
-func (c *claim) take(ctx context.Context) (claimer.Verdict, *messenger.ClaimRow) {
+// acquire asks the voters for the claim. If another attempt holds it, the
+// returned row describes that attempt.
+func (c *claim) acquire(ctx context.Context) (claimer.Verdict, *messenger.ClaimRow) {
 	ctx, cancel := context.WithTimeout(ctx, claimer.ClaimTime)
 	defer cancel()
 	q := c.request
-	ask := &messenger.ClaimRequest{
+	claimRequest := &messenger.ClaimRequest{
 		Workspace: q.key.Workspace(), RequestId: q.key.RequestID(), Digest: q.digest[:],
 		Holder: c.holder, DeadlineMs: q.deadline.UnixMilli(), Store: q.ticket.store,
 	}
@@ -84,7 +88,7 @@
 	replies := make(chan vote, len(c.voters))
 	for i, k := range c.voters {
 		go func() {
-			reply, err := resend(ctx, func(ctx context.Context) (*messenger.ClaimReply, error) { return k.Claim(ctx, ask) })
+			reply, err := resend(ctx, func(ctx context.Context) (*messenger.ClaimReply, error) { return k.Claim(ctx, claimRequest) })
 			if err != nil {
 				reply = nil
 			}
@@ -101,8 +105,8 @@
 	return v, a.Holder()
 }
 
-// settle tells the voters how the claim ended. A release may only follow
-// where the request provably was not dispatched.
+// settle reports the final state of the claim to the voters in the background.
+// The state may be released only if the request was provably not dispatched.
 func (c *claim) settle(state messenger.ClaimState, answerDigest []byte) {
 	end := &messenger.SettleRequest{
 		Workspace: c.request.key.Workspace(), RequestId: c.request.key.RequestID(),
@@ -117,13 +121,13 @@
 	}
 }
 
-// serveOnce runs a request that may not be repeated, under a claim.
-func (r *Router) serveOnce(ctx context.Context, q *request, run *joiner.Run) (*joiner.Answer, error) {
+// serveAtMostOnce runs a request that is not repeatable under a claim.
+func (r *Router) serveAtMostOnce(ctx context.Context, q *request, run *joiner.Run) (*joiner.Answer, error) {
 	c := r.newClaim(q)
 	v, row := r.claimTraced(ctx, q, c)
 	if v != claimer.Granted {
 		c.settle(messenger.ClaimState_CLAIM_STATE_RELEASED, nil)
-		return r.heldElsewhere(ctx, q, run, v, row)
+		return r.resolveRefusedClaim(ctx, q, run, v, row)
 	}
 	run.Prove()
 	a, err := r.serve(ctx, q, run)
@@ -138,25 +142,28 @@
 	return a, err
 }
 
-// heldElsewhere gets the answer from the router that holds the claim, or says
-// truthfully what is known of it.
-func (r *Router) heldElsewhere(ctx context.Context, q *request, run *joiner.Run, v claimer.Verdict, row *messenger.ClaimRow) (*joiner.Answer, error) {
+// resolveRefusedClaim handles a claim that was not granted: it fetches the
+// answer from the router that holds the claim, or returns an error that states
+// what is known about the request.
+func (r *Router) resolveRefusedClaim(ctx context.Context, q *request, run *joiner.Run, v claimer.Verdict, row *messenger.ClaimRow) (*joiner.Answer, error) {
 	if v == claimer.Reused {
 		return nil, joiner.ErrReused
 	}
 	if v == claimer.Undecided {
 		return nil, &Problem{Status: http.StatusServiceUnavailable, Code: CodeUndecided, Outcome: Unknown, Detail: "too few keepers answer to claim a request that may not be repeated", After: retrySoon}
 	}
-	if x := r.homes.all[row.GetHolder().GetRouter()]; x != nil {
+	if x := r.peers.byName[row.GetHolder().GetRouter()]; x != nil {
 		if a, err := r.joinAt(ctx, q, run, x); err == nil {
 			return a, nil
 		}
 	}
-	return nil, heldProblem(row, time.Now())
+	return nil, heldClaimProblem(row, time.Now())
 }
 
-func heldProblem(row *messenger.ClaimRow, now time.Time) *Problem {
-	running := row.State == messenger.ClaimState_CLAIM_STATE_GRANTED && now.Before(time.UnixMilli(row.DeadlineMs).Add(runningSlack))
+// heldClaimProblem returns the error for a request whose claim another attempt
+// holds or held, according to the state of the claim.
+func heldClaimProblem(row *messenger.ClaimRow, now time.Time) *Problem {
+	running := row.State == messenger.ClaimState_CLAIM_STATE_GRANTED && now.Before(time.UnixMilli(row.DeadlineMs).Add(clockSkewAllowance))
 	switch {
 	case row.State == messenger.ClaimState_CLAIM_STATE_DONE:
 		return &Problem{Status: http.StatusConflict, Code: CodeAnswerGone, Outcome: Ran, Detail: "the request ran once; its answer, with SHA-256 " + hex.EncodeToString(row.AnswerDigest) + ", is not kept where it can be reached"}
--- a/router/connect.go
+++ b/router/connect.go
@@ -9,8 +9,8 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// connect sets up the clients of other processes; the returned function closes
-// them.
+// connect creates the clients for keepers and other routers; the returned
+// function closes them.
 func (r *Router) connect() (func(), error) {
 	s := r.settings
 	r.dialer = messenger.NewDialer(r.self.Name(), messenger.RoleMember, s.DeploymentKey(), messenger.WithTLS(s.TLS()))
@@ -26,7 +26,7 @@
 		return nil, err
 	}
 	opened.add(closeOne)
-	if r.homes, closeOne, err = newHomes(s, r.self, r.dialer); err != nil {
+	if r.peers, closeOne, err = newPeerTable(s, r.self, r.dialer); err != nil {
 		opened.run()
 		return nil, err
 	}
@@ -41,20 +41,22 @@
 	return opened.run, nil
 }
 
-// cleanUps are the clean-up functions of what was opened so far.
+// cleanUps is a stack of functions that release resources.
 type cleanUps []func()
 
+// add pushes a function onto the stack.
 func (c *cleanUps) add(f func()) { *c = append(*c, f) }
 
-// run calls the functions, the latest first.
+// run calls the functions in reverse order.
 func (c *cleanUps) run() {
 	for _, f := range slices.Backward(*c) {
 		f()
 	}
 }
 
-// serveRPC registers what the router answers to other processes.
-func (r *Router) serveRPC() {
+// registerRPC creates the gRPC server and registers the services of this
+// router.
+func (r *Router) registerRPC() {
 	s := r.settings
 	r.peerRPC = messenger.NewServer(messenger.Keys{
 		messenger.RoleMember:   s.DeploymentKey(),
@@ -65,9 +67,9 @@
 	messenger.RegisterOperationsServer(r.peerRPC, &operationsServer{router: r})
 }
 
-// newEngines returns the client for endpoints. It passes bodies and redirects
-// on as they are.
-func newEngines() *http.Client {
+// newEngineClient returns the HTTP client for endpoints. It neither
+// decompresses bodies nor follows redirects.
+func newEngineClient() *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			MaxIdleConnsPerHost: idlePerEndpoint, IdleConnTimeout: idleConnTimeout, DisableCompression: true,
@@ -79,7 +81,8 @@
 	}
 }
 
-// zoneKeeper returns the keeper of a zone; checked settings have one.
+// zoneKeeper returns the keeper of a zone. Validated settings have one for each
+// zone.
 func zoneKeeper(s *loader.Settings, zone string) loader.Process {
 	for _, p := range s.Processes(loader.KindKeeper) {
 		if p.Zone() == zone {
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -13,7 +13,8 @@
 	"rattanhoist.example/rattanhoist/tracer"
 )
 
-// dispatch sends a request; an error says whether the endpoint may have it.
+// dispatch sends a request to an endpoint. A returned runError says whether the
+// endpoint may have received the request.
 func (r *Router) dispatch(ctx context.Context, q *request, e *rattanhoist.Endpoint, body []byte) (*http.Response, error) {
 	target := "http://" + e.Address() + q.path
 	if q.rawQuery != "" {
@@ -29,29 +30,30 @@
 	h.Header.Set(headerRequestID, q.key.String())
 	tracer.Inject(ctx, h.Header)
 	h.Header.Set(headerPriority, strconv.Itoa(q.priority))
-	// A Go client resends some requests by itself when a kept connection
-	// turns out closed; without a replayable body it can't run one twice.
+	// The HTTP client retries some requests on its own if a kept connection
+	// turns out to be closed. Without a replayable body it can't run one twice.
 	h.GetBody = nil
 	if !q.repeatable {
-		// It does resend GET and the like without a body; a fresh connection
-		// gives it no cause to.
+		// The HTTP client still retries GET and similar requests that have no
+		// body. On a new connection it has no reason to.
 		h.Close = true
 	}
 	look := &lastLook{usable: func() bool { return r.tracker.Usable(e, time.Now()) }}
-	resp, err := r.engines.Do(h.WithContext(look.arm(ctx)))
+	resp, err := r.engineClient.Do(h.WithContext(look.arm(ctx)))
 	if err != nil && look.refused.Load() {
 		return nil, &runError{cause: rattanhoist.ErrNoEndpoint}
 	}
 	if err != nil {
-		return nil, &runError{cause: err, dispatched: !neverSent(err)}
+		return nil, &runError{cause: err, dispatched: !dialFailed(err)}
 	}
 	return resp, nil
 }
 
-// refusedBy turns an engine's status into an error. Engines answer 429 and 503
-// instead of a run, before it; of a request that may not be repeated this is
-// not taken on trust.
-func refusedBy(resp *http.Response, q *request) error {
+// statusError converts an unsuccessful status of an endpoint into an error.
+// Engines answer 429 and 503 before they run a request, so it can be sent to
+// another endpoint. For a request that is not repeatable this is not relied on:
+// it counts as dispatched.
+func statusError(resp *http.Response, q *request) error {
 	cause := &Problem{
 		Status: http.StatusBadGateway, Code: CodeEndpointFailed, Outcome: Unknown, After: retrySoon,
 		Detail: "the endpoint answered " + clip(resp.Status),
@@ -66,8 +68,9 @@
 	return &runError{cause: cause, dispatched: true}
 }
 
-// neverSent reports whether the connection was never made.
-func neverSent(err error) bool {
+// dialFailed reports whether the connection could not be established, so that
+// nothing was sent.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/router/drain_faults_test.go
+++ b/router/drain_faults_test.go
@@ -20,28 +20,30 @@
 
 // Drains under faults: the streams that are open, and how long each is.
 const (
+	// drainStreams is the number of streams that are open when a router drains,
+	// and drainTokens the length of each.
 	drainStreams = 40
 	drainTokens  = 300
-	// drainRights cover all streams in the worst case.
+	// drainRights cover the largest possible charge of all streams.
 	drainRights = drainStreams * drainTokens * 3
 )
 
-// startDrain starts three zones with engines in the first and the second.
+// startDrain starts three zones, with engines in the first and the second.
 func startDrain(t *testing.T, net int) *fleet {
 	t.Helper()
-	f := startShared(t, launcher.Options{Net: net})
+	f := startParallelFleet(t, launcher.Options{Net: net})
 	for i, z := range []string{"osu-hall", "tema-hall"} {
 		f.StartEndpoint("engine", fmt.Sprintf("llm-%d", i+1), "llm", z, i+1, "--capacity", "100", "--pace", "20ms")
 	}
-	f.served(func(router, id string) call { return f.model(router, id, 4) })
+	f.awaitService(func(router, id string) call { return f.model(router, id, 4) })
 	return f
 }
 
-// drainUnder opens streams at a router, half of them of requests whose home is
-// its sibling, brings faults about, has the router shut down while all
-// streams are open and brings more faults about. Every stream must end whole,
-// and the process with exit code 0. It returns the requests' ids.
-func (f *fleet) drainUnder(router string, before, after func()) []string {
+// drainWithFaults opens streams at a router, half of them of requests whose
+// home is its sibling, calls before, terminates the router while all streams
+// are open, and calls after. Every stream must end complete and the process
+// must exit with code 0. It returns the requests' ids.
+func (f *fleet) drainWithFaults(router string, before, after func()) []string {
 	f.t.Helper()
 	ids := make([]string, drainStreams)
 	var ended, failed atomic.Int64
@@ -79,9 +81,9 @@
 	return ids
 }
 
-// billedOnce waits until no charge is on its way to its zone and every request
-// has one over all zones.
-func (f *fleet) billedOnce(ids []string) {
+// expectBilledOnce waits until no charge is still on its way to its zone and
+// every request has exactly one bill over all zones.
+func (f *fleet) expectBilledOnce(ids []string) {
 	f.t.Helper()
 	f.Eventually("no charge waits at a witness", func() bool {
 		for _, p := range f.Settings().Processes(loader.KindKeeper) {
@@ -92,7 +94,7 @@
 		return true
 	})
 	f.Eventually("every request has one bill", func() bool {
-		// A warning of a zone that does not answer comes before the document.
+		// If a zone does not answer, a warning precedes the JSON document.
 		out, code := f.Command("budget", "history", workspace, "-o", "json")
 		if code != 0 || !strings.HasPrefix(out, "{") {
 			return false
@@ -111,8 +113,8 @@
 	})
 }
 
-// ranOnce checks that no stream was run again.
-func (f *fleet) ranOnce(ids []string) {
+// expectRanOnce checks that no stream was run again.
+func (f *fleet) expectRanOnce(ids []string) {
 	f.t.Helper()
 	runs := f.runs("llm-1", "llm-2")
 	for _, id := range ids {
@@ -120,57 +122,50 @@
 	}
 }
 
-func nothing() {}
+// noFault is the fault callback that does nothing.
+func noFault() {}
 
-// TestDrainInACutZone
-// Symptom: streams of a router that shuts down in a cut-off zone break, or
-// their bills are lost or double after the heal.
-// Sequence: streams are open; the zone is cut off from both others; SIGTERM;
-// the streams end; the cut heals.
-// Cause it guards against: a charge that waits for a keeper beyond the cut.
-func TestDrainInACutZone(t *testing.T) {
+// TestDrainInPartitionedZone guards against charges that wait for a keeper in
+// another zone: the streams of a draining router would break, or their bills
+// would be lost or duplicated once the zones are connected again. The zone is
+// cut off from both others while the streams are open.
+func TestDrainInPartitionedZone(t *testing.T) {
 	f := startDrain(t, 120)
 	others := []string{"tema-hall", "legon-hall"}
-	ids := f.drainUnder("osu-hall-1", func() {
+	ids := f.drainWithFaults("osu-hall-1", func() {
 		for _, z := range others {
 			f.Cut("osu-hall", z)
 		}
-	}, nothing)
+	}, noFault)
 	for _, z := range others {
 		f.Heal("osu-hall", z)
 	}
-	f.billedOnce(ids)
-	f.ranOnce(ids)
+	f.expectBilledOnce(ids)
+	f.expectRanOnce(ids)
 }
 
-// TestDrainWithASilentKeeper
-// Symptom: streams of a router that shuts down wait for a keeper that is up
-// and silent, or are billed nowhere or twice.
-// Sequence: streams are open; the zone's keeper is stopped; SIGTERM; the
-// streams end and the router exits; the keeper goes on.
-// Cause it guards against: charges that only the own keeper may take, and a
-// hand-over at the end that waits for it without bound.
-func TestDrainWithASilentKeeper(t *testing.T) {
+// TestDrainWithSilentKeeper guards against charges that only the zone's own
+// keeper may take, and against an unbounded wait for it at the end of the
+// drain. The keeper is stopped while the streams are open and continues after
+// the router has exited.
+func TestDrainWithSilentKeeper(t *testing.T) {
 	f := startDrain(t, 121)
-	ids := f.drainUnder("osu-hall-1", func() { f.Freeze("osu-hall-keeper") }, nothing)
+	ids := f.drainWithFaults("osu-hall-1", func() { f.Freeze("osu-hall-keeper") }, noFault)
 	f.Eventually("the next keeper has every charge", func() bool {
 		v := f.vault("tema-hall-keeper")
 		return v != nil && v.Witnessed == drainStreams
 	})
 	f.Thaw("osu-hall-keeper")
-	f.billedOnce(ids)
-	f.ranOnce(ids)
+	f.expectBilledOnce(ids)
+	f.expectRanOnce(ids)
 }
 
-// TestDrainAfterASecondLoss
-// Symptom: streams of a router that shuts down break, or their bills are gone,
-// when a second VM is lost right after the first is repaired.
-// Sequence: the zone's keeper and the router beside it are lost with their
-// disk and come back empty; at the surviving router streams are open; as soon
-// as the repair is done, the mirror's VM is lost with its disk; SIGTERM.
-// Cause it guards against: charges that wait for the mirror, and a repair that
-// counts before it is on two disks.
-func TestDrainAfterASecondLoss(t *testing.T) {
+// TestDrainAfterSecondDiskLoss guards against charges that wait for the mirror,
+// and against a repair that counts as done before the data is on two disks. The
+// zone's keeper and one router lose their disk and come back empty; as soon as
+// the repair is done, the VM of the mirror is lost with its disk, while streams
+// are open at the draining router.
+func TestDrainAfterSecondDiskLoss(t *testing.T) {
 	f := startDrain(t, 122)
 	lose := func(zone string) {
 		f.Kill(zone + "-keeper")
@@ -184,35 +179,31 @@
 	f.Eventually("the first VM is back", func() bool { return f.Ready("osu-hall-1") })
 	f.Eventually("the first VM is repaired", func() bool { return f.isPaired("osu-hall-keeper") })
 	f.votesAgain("osu-hall-keeper", before)
-	ids := f.drainUnder("osu-hall-2", func() { lose("tema-hall") }, nothing)
+	ids := f.drainWithFaults("osu-hall-2", func() { lose("tema-hall") }, noFault)
 	f.Restart("tema-hall-keeper")
 	f.Restart("tema-hall-1")
-	f.billedOnce(ids)
-	f.ranOnce(ids)
+	f.expectBilledOnce(ids)
+	f.expectRanOnce(ids)
 }
 
-// TestDrainWithTwoFaults
-// Symptom: streams of a router that shuts down break when the zone's keeper is
-// silent and the sibling dies at the same time.
-// Sequence: there was traffic, so that the router's slice covers what it takes
-// over; streams are open, half of them of requests whose home is the sibling;
-// the keeper is stopped; SIGTERM; the sibling is killed; the streams end and
-// the router exits; the keeper goes on.
-// Cause it guards against: a draining router that refuses to take over the
-// runs of its own callers.
-// Where the slice does not cover them, they are refused with or without a
-// shutdown: no keeper that answers can lease this zone's rights.
+// TestDrainWithTwoFaults guards against a draining router that refuses to take
+// over the runs of its own callers. The zone's keeper is stopped and the
+// sibling, home of half of the requests, is killed during the drain.
+//
+// Earlier traffic makes the router lease enough rights for the runs that it
+// takes over. Without them these runs would be refused with or without a drain,
+// because no keeper that answers can lease this zone's rights.
 func TestDrainWithTwoFaults(t *testing.T) {
 	f := startDrain(t, 123)
-	f.traffic("osu-hall-1")
-	ids := f.drainUnder("osu-hall-1", func() { f.Freeze("osu-hall-keeper") }, func() { f.Kill("osu-hall-2") })
+	f.leaseAhead("osu-hall-1")
+	ids := f.drainWithFaults("osu-hall-1", func() { f.Freeze("osu-hall-keeper") }, func() { f.Kill("osu-hall-2") })
 	f.Thaw("osu-hall-keeper")
-	f.billedOnce(ids)
+	f.expectBilledOnce(ids)
 }
 
-// traffic has a router see steady demand until it has leased ahead enough for
-// all streams.
-func (f *fleet) traffic(router string) {
+// leaseAhead generates steady traffic at a router until it holds enough rights
+// for all streams.
+func (f *fleet) leaseAhead(router string) {
 	f.t.Helper()
 	var wg sync.WaitGroup
 	var enough atomic.Bool
@@ -228,17 +219,17 @@
 	}
 	defer wg.Wait()
 	defer enough.Store(true)
-	f.Eventually("the router leases ahead", func() bool { return f.left(router) >= drainRights })
+	f.Eventually("the router leases ahead", func() bool { return f.heldRights(router) >= drainRights })
 }
 
-// vaultState is what a keeper shows of its budgets.
+// vaultState is the part of a keeper's budget counters that the tests read.
 type vaultState struct {
 	Mode string
-	// Witnessed counts the charges it holds for other zones.
+	// Witnessed counts the charges that the keeper holds for other zones.
 	Witnessed int `json:"charges_witnessed"`
 }
 
-// vault returns nil where the keeper does not answer.
+// vault returns the budget counters of a keeper, or nil if it does not answer.
 func (f *fleet) vault(keeper string) *vaultState {
 	p, err := f.Settings().Process(loader.KindKeeper, keeper)
 	f.g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -262,8 +253,8 @@
 	return v != nil && v.Mode == budgeter.ModePaired
 }
 
-// left returns the rights that a router holds.
-func (f *fleet) left(router string) (n int64) {
+// heldRights returns the tokens of all rights that a router holds.
+func (f *fleet) heldRights(router string) (n int64) {
 	f.t.Helper()
 	p, err := f.Settings().Process(loader.KindRouter, router)
 	f.g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/router/drain_test.go
+++ b/router/drain_test.go
@@ -14,19 +14,19 @@
 	"rattanhoist.example/rattanhoist/launcher"
 )
 
-// TestDrainCutsNothingOff
-// Symptom: callers of a router that is shut down lose their answers.
-// Sequence: 300 streams are open at one router, half of them of requests whose
-// home is its sibling; SIGTERM; new requests come while the streams go on.
-// Cause it guards against: a listener or peer server closed, or a run
-// cancelled, before the last answer; a refusal lost with the listener.
-func TestDrainCutsNothingOff(t *testing.T) {
+// TestDrainCompletesOpenStreams guards against a listener or gRPC server that is
+// closed, or a run that is cancelled, before the last answer is complete, and
+// against refusals that are lost with the listener. A router with 300 open
+// streams, about half of them of requests whose home is its sibling, is
+// terminated; a new request must be refused with a reason while the streams go
+// on.
+func TestDrainCompletesOpenStreams(t *testing.T) {
 	const streams = 300
 	f := startFleet(t, launcher.Options{Net: 70, Zones: []string{"osu-hall"}})
 	for n := 1; n <= 2; n++ {
 		f.StartEndpoint("engine", fmt.Sprintf("llm-%d", n), "llm", "osu-hall", n, "--capacity", "200", "--pace", "4ms")
 	}
-	f.served(func(router, id string) call { return f.model(router, id, 4) })
+	f.awaitService(func(router, id string) call { return f.model(router, id, 4) })
 	var begun, failed atomic.Int64
 	var wg sync.WaitGroup
 	for i := range streams {
@@ -45,9 +45,9 @@
 	f.Eventually("healthz turns 503", func() bool { return status("http://"+f.http("osu-hall-1")+"/healthz") == http.StatusServiceUnavailable })
 	before := time.Now()
 	_, err := f.model("osu-hall-1", "late", 8).Do(context.Background())
-	f.g.Expect(refused(err)).NotTo(gomega.BeNil(), "%v", err)
-	f.g.Expect(refused(err).Code).To(gomega.Equal("draining"))
-	f.g.Expect(refused(err).Outcome).To(gomega.Equal("not_run"))
+	f.g.Expect(refusalOf(err)).NotTo(gomega.BeNil(), "%v", err)
+	f.g.Expect(refusalOf(err).Code).To(gomega.Equal("draining"))
+	f.g.Expect(refusalOf(err).Outcome).To(gomega.Equal("not_run"))
 	f.g.Expect(time.Since(before)).To(gomega.BeNumerically("<", time.Second))
 	_, err = f.model("osu-hall-2", "late", 8).Do(context.Background())
 	f.g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -59,6 +59,7 @@
 	}
 }
 
+// status returns the status of a GET request, or 0 if it fails.
 func status(url string) int {
 	resp, err := http.Get(url)
 	if err != nil {
--- a/router/engine_stream.go
+++ b/router/engine_stream.go
@@ -14,32 +14,36 @@
 	"rattanhoist.example/rattanhoist/joiner"
 )
 
-// Errors of an endpoint's answer. Compare with errors.Is.
+// Errors in the answer of an endpoint. Compare with errors.Is.
 var (
-	// ErrFragment says that an answer ended before its completion mark, or
-	// does not fit it.
-	ErrFragment = merry.Sentinel("the endpoint's answer is not whole")
-	// ErrCrossed says that an answer belongs to another request.
-	ErrCrossed = merry.Sentinel("the endpoint answered another request")
-	// ErrEndpointStatus says that the endpoint refused.
+	// ErrIncomplete is returned for an answer that ends before its completion
+	// verifyMark or does not match it.
+	ErrIncomplete = merry.Sentinel("the endpoint's answer is not whole")
+	// ErrWrongRequest is returned for an answer that belongs to another
+	// request.
+	ErrWrongRequest = merry.Sentinel("the endpoint answered another request")
+	// ErrEndpointStatus is returned if the endpoint answers with a failure status
+	// or refuses to resume a stream.
 	ErrEndpointStatus = merry.Sentinel("the endpoint refused")
-	// ErrEngine says that the engine reported a failure of its own.
-	ErrEngine = merry.Sentinel("the engine failed")
-	// ErrUnsupported says that an answer holds what a router can't pass on.
+	// ErrEngineFailed is returned if the engine reports an error, or sends more
+	// appendText than the request allows.
+	ErrEngineFailed = merry.Sentinel("the engine failed")
+	// ErrUnsupported is returned for an answer with content that the router
+	// can't pass on.
 	ErrUnsupported = merry.Sentinel("the answer holds what the router does not carry")
 )
 
 const (
-	maxEvent  = 1 << 20
-	doneEvent = "[DONE]"
-	// maxTokenBytes is above the longest token of the usual vocabularies (128
-	// bytes).
+	maxEventBytes = 1 << 20
+	doneEvent     = "[DONE]"
+	// maxTokenBytes exceeds the longest token of common vocabularies, which has
+	// 128 bytes.
 	maxTokenBytes = 256
 )
 
-// engineEvent is one event of a model engine's stream. Engines that know the
-// mark send offset in each event and length and digest in the last; ordinary
-// ones send neither.
+// engineEvent is one event in the stream of a model engine. Engines that
+// support the completion mark send the offset in each event, and the length and
+// digest in the last one; other engines send none of them.
 type engineEvent struct {
 	ID      string          `json:"id"`
 	Offset  *int64          `json:"offset"`
@@ -61,73 +65,79 @@
 	ToolCalls json.RawMessage `json:"tool_calls"`
 }
 
-func isNull(m json.RawMessage) bool { return len(m) == 0 || string(m) == "null" || string(m) == "[]" }
+// isEmptyJSON reports whether m is missing, null or an empty list.
+func isEmptyJSON(m json.RawMessage) bool {
+	return len(m) == 0 || string(m) == "null" || string(m) == "[]"
+}
 
-// assembler checks a stream and gives its text to the run in order. It lives
-// through resumes of the same stream.
+// assembler validates the event stream of an engine and appends its text to the
+// run in order. It is kept across resumes of the same stream.
 type assembler struct {
 	key    string
 	run    *joiner.Run
 	digest hash.Hash
 	answer joiner.Answer
-	// Most bounds the answer in bytes: an engine that ignores max_tokens would
-	// otherwise fill the memory of the router, which shows as its resident
-	// size growing with one stream.
-	most  int64
-	usage *usage
-	// First is the first event; it shows what kind of engine sends.
+	// maxBytes bounds the answer. An engine that ignores max_tokens could
+	// otherwise fill the router's memory: its resident size would grow with a
+	// single stream.
+	maxBytes int64
+	usage    *usage
+	// first is the first event, which shows whether the engine supports the
+	// completion mark.
 	first *engineEvent
-	// Finished says that the engine ended the text; whole, that the answer
-	// has its mark.
-	finished, whole bool
-	// Closed says that nothing may follow.
+	// finished is set when the engine has sent a finish reason, and complete
+	// when the completion mark was verified.
+	finished, complete bool
+	// closed is set after the end of the stream; no more data may follow.
 	closed bool
-	// Progress is called at every event, begun at every text.
-	progress, begun func()
+	// onEvent is called for every event, onText for every piece of text.
+	onEvent, onText func()
 }
 
+// newAssembler returns an assembler that appends to a run of q.
 func newAssembler(q *request, run *joiner.Run) *assembler {
-	return &assembler{key: q.key.String(), run: run, digest: sha256.New(), most: q.maxAnswer * maxTokenBytes, progress: func() {}, begun: func() {}}
+	return &assembler{key: q.key.String(), run: run, digest: sha256.New(), maxBytes: q.maxAnswer * maxTokenBytes, onEvent: func() {}, onText: func() {}}
 }
 
-// read takes one connection's events until it ends.
+// read processes the events of one connection until it ends.
 func (a *assembler) read(body io.Reader) error {
 	sc := bufio.NewScanner(body)
-	sc.Buffer(nil, maxEvent)
+	sc.Buffer(nil, maxEventBytes)
 	for sc.Scan() {
 		data, ok := strings.CutPrefix(sc.Text(), "data:")
 		if !ok {
 			continue
 		}
-		a.progress()
-		if err := a.take(strings.TrimSpace(data)); err != nil {
+		a.onEvent()
+		if err := a.handleData(strings.TrimSpace(data)); err != nil {
 			return err
 		}
 	}
-	if err := sc.Err(); err != nil && !a.whole {
-		return merry.Wrap(ErrFragment, merry.AppendMessage(err.Error()))
+	if err := sc.Err(); err != nil && !a.complete {
+		return merry.Wrap(ErrIncomplete, merry.AppendMessage(err.Error()))
 	}
-	if !a.whole {
-		return ErrFragment
+	if !a.complete {
+		return ErrIncomplete
 	}
 	return nil
 }
 
-func (a *assembler) take(data string) error {
+// handleData processes the data of one event.
+func (a *assembler) handleData(data string) error {
 	if a.closed {
-		return merry.Wrap(ErrFragment, merry.AppendMessage("data after the end"))
+		return merry.Wrap(ErrIncomplete, merry.AppendMessage("data after the end"))
 	}
 	if data == doneEvent {
-		return a.done()
+		return a.handleDone()
 	}
 	var e engineEvent
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
-		return merry.Wrap(ErrFragment, merry.AppendMessage(err.Error()))
+		return merry.Wrap(ErrIncomplete, merry.AppendMessage(err.Error()))
 	}
-	if !isNull(e.Error) {
-		return merry.Wrap(ErrEngine, merry.AppendMessage(clip(string(e.Error))))
+	if !isEmptyJSON(e.Error) {
+		return merry.Wrap(ErrEngineFailed, merry.AppendMessage(clip(string(e.Error))))
 	}
-	if err := a.identify(&e); err != nil {
+	if err := a.checkIdentity(&e); err != nil {
 		return err
 	}
 	if e.Usage != nil {
@@ -136,44 +146,45 @@
 	if len(e.Choices) == 0 {
 		return nil
 	}
-	return a.choice(&e)
+	return a.handleChoice(&e)
 }
 
-// marks reports whether the engine sends offsets, length and digest.
-func (a *assembler) marks() bool { return a.first.Offset != nil }
+// sendsMarks reports whether the engine sends offsets, length and digest.
+func (a *assembler) sendsMarks() bool { return a.first.Offset != nil }
 
-// identify refuses an event of another request's answer. An engine that knows
-// the mark echoes the request's identity; of an ordinary one only a change in
-// the middle of a stream can be found out.
-func (a *assembler) identify(e *engineEvent) error {
+// checkIdentity rejects an event of another request's answer. Engines that
+// support the completion mark return the request's identity; for other engines
+// only a change within a stream can be detected.
+func (a *assembler) checkIdentity(e *engineEvent) error {
 	if a.first == nil {
 		a.first = e
 	}
-	if a.marks() {
+	if a.sendsMarks() {
 		if e.ID != a.key {
-			return ErrCrossed
+			return ErrWrongRequest
 		}
 		if e.Offset == nil {
-			return merry.Wrap(ErrFragment, merry.AppendMessage("an event has no offset"))
+			return merry.Wrap(ErrIncomplete, merry.AppendMessage("an event has no offset"))
 		}
 		return nil
 	}
 	if e.ID != a.first.ID || e.Offset != nil {
-		return ErrCrossed
+		return ErrWrongRequest
 	}
 	return nil
 }
 
-func (a *assembler) choice(e *engineEvent) error {
+// handleChoice processes the text and the finish reason of an event.
+func (a *assembler) handleChoice(e *engineEvent) error {
 	c := e.Choices[0]
 	if len(e.Choices) > 1 || c.Index != 0 {
 		return merry.Wrap(ErrUnsupported, merry.AppendMessage("more than one choice"))
 	}
-	if c.Delta != nil && !isNull(c.Delta.ToolCalls) {
+	if c.Delta != nil && !isEmptyJSON(c.Delta.ToolCalls) {
 		return merry.Wrap(ErrUnsupported, merry.AppendMessage("tool calls"))
 	}
 	if c.Delta != nil && c.Delta.Content != "" {
-		if err := a.text(e.Offset, c.Delta.Content); err != nil {
+		if err := a.appendText(e.Offset, c.Delta.Content); err != nil {
 			return err
 		}
 	}
@@ -181,20 +192,21 @@
 		return nil
 	}
 	a.finished, a.answer.FinishReason = true, *c.FinishReason
-	if a.marks() {
-		return a.mark(e)
+	if a.sendsMarks() {
+		return a.verifyMark(e)
 	}
 	return nil
 }
 
-func (a *assembler) text(offset *int64, text string) error {
+// appendText checks the offset of a piece of text and appends it to the run.
+func (a *assembler) appendText(offset *int64, text string) error {
 	if a.finished || offset != nil && *offset != a.answer.Length {
-		return ErrFragment
+		return ErrIncomplete
 	}
-	if a.answer.Length+int64(len(text)) > a.most {
-		return merry.Wrap(ErrEngine, merry.AppendMessage("more text than max_tokens allows"))
+	if a.answer.Length+int64(len(text)) > a.maxBytes {
+		return merry.Wrap(ErrEngineFailed, merry.AppendMessage("more text than max_tokens allows"))
 	}
-	a.begun()
+	a.onText()
 	if err := a.run.Append(a.answer.Length, text); err != nil {
 		return err
 	}
@@ -203,32 +215,35 @@
 	return nil
 }
 
-// mark compares the engine's length and digest with what arrived: a stream
-// that lost a piece, or holds a piece of another, must not pass as whole.
-func (a *assembler) mark(e *engineEvent) error {
+// verifyMark compares the engine's length and digest with the received text, so
+// that a stream that lost a piece, or contains a piece of another one, is not
+// accepted as complete.
+func (a *assembler) verifyMark(e *engineEvent) error {
 	if e.Length != a.answer.Length || e.Digest != hex.EncodeToString(a.digest.Sum(nil)) || a.usage == nil {
 		a.finished = false
-		return ErrFragment
+		return ErrIncomplete
 	}
-	a.end()
+	a.finish()
 	return nil
 }
 
-// done ends an ordinary engine's answer: its end, its usage and the last
-// event together count as the mark.
-func (a *assembler) done() error {
+// handleDone processes the [DONE] event. For an engine without completion
+// marks, the finish reason, the usage and this event together count as the
+// mark.
+func (a *assembler) handleDone() error {
 	if !a.finished || a.usage == nil {
-		return ErrFragment
+		return ErrIncomplete
 	}
 	a.closed = true
-	if !a.whole {
-		a.end()
+	if !a.complete {
+		a.finish()
 	}
 	return nil
 }
 
-func (a *assembler) end() {
-	a.whole = true
+// finish marks the answer as complete and sets its digest and token counts.
+func (a *assembler) finish() {
+	a.complete = true
 	a.answer.Digest = hex.EncodeToString(a.digest.Sum(nil))
 	a.answer.PromptTokens = a.usage.PromptTokens
 	a.answer.AnswerTokens = a.usage.CompletionTokens
--- a/router/execute.go
+++ b/router/execute.go
@@ -14,19 +14,22 @@
 )
 
 const (
-	// tickEvery is how often runs that nobody waits for are looked for.
-	tickEvery = 100 * time.Millisecond
-	// retryGrace is how long a run goes on after its caller has gone.
-	retryGrace = 2 * time.Second
-	// maxKeptBytes bounds the answers kept for retries.
-	maxKeptBytes = 128 << 20
-	// maxJoins bounds how often one arrival joins a run that another stopped.
+	// runExpiryInterval is how often the joiner looks for runs that nobody
+	// waits for.
+	runExpiryInterval = 100 * time.Millisecond
+	// abandonedRunGrace is how long a run goes on after its caller has gone, so
+	// that a retry can join it.
+	abandonedRunGrace = 2 * time.Second
+	// maxKeptAnswerBytes bounds the answers that are kept for retries.
+	maxKeptAnswerBytes = 128 << 20
+	// maxJoins bounds how often one request joins a run that is then cancelled
+	// by another caller.
 	maxJoins = 3
 )
 
-// local joins or starts the run of a request at this router and passes its
-// answer to the feed.
-func (r *Router) local(ctx context.Context, q *request, f *feed, joinOnly bool) error {
+// answerLocally joins or starts the run of a request at this router and passes
+// its answer to the feed. With joinOnly it starts nothing.
+func (r *Router) answerLocally(ctx context.Context, q *request, f *feed, joinOnly bool) error {
 	rec, known := r.records.get(q.key, time.Now())
 	if known && rec.digest != q.digest {
 		return joiner.ErrReused
@@ -44,7 +47,7 @@
 			return err
 		}
 		if joinOnly && run.Following() {
-			// Two routers that follow each other would wait for ever.
+			// Two routers that follow each other's run would wait forever.
 			r.joiner.Leave(time.Now(), q.key, run)
 			return joiner.ErrAbsent
 		}
@@ -52,10 +55,10 @@
 			r.record(q, recorder.Decision{Kind: recorder.Joined, Reason: "the request runs here, or its answer is kept"})
 		}
 		if begun {
-			r.gate.follow()
+			r.gate.add()
 			go r.execute(tracer.LinkOf(ctx), q, run)
 		}
-		err = r.wait(ctx, q, run, f)
+		err = r.awaitAnswer(ctx, q, run, f)
 		if begun || ctx.Err() != nil || !endedEarly(err) {
 			return err
 		}
@@ -63,15 +66,16 @@
 	return err
 }
 
-// endedEarly reports whether a joined run was given up just as it was joined.
+// endedEarly reports whether a run was cancelled just as a request joined it.
 func endedEarly(err error) bool {
 	return errors.Is(err, joiner.ErrStopped) || errors.Is(err, context.Canceled)
 }
 
-// wait passes a run's answer on, until the caller's deadline.
-func (r *Router) wait(ctx context.Context, q *request, run *joiner.Run, f *feed) error {
+// awaitAnswer passes the answer of a run to the feed until the caller's
+// deadline.
+func (r *Router) awaitAnswer(ctx context.Context, q *request, run *joiner.Run, f *feed) error {
 	defer func() { r.joiner.Leave(time.Now(), q.key, run) }()
-	err := follow(ctx, run, f)
+	err := feedRun(ctx, run, f)
 	if !errors.Is(err, context.DeadlineExceeded) || ctx.Err() == nil {
 		return err
 	}
@@ -82,30 +86,31 @@
 	return p
 }
 
-// execute produces the answer of a run and ends it. Its spans belong to the
-// request that began it.
+// execute produces the answer of a run and ends the run. Its spans belong to
+// the trace of the request that started it.
 func (r *Router) execute(link tracer.Link, q *request, run *joiner.Run) {
 	defer r.gate.leave()
 	var a *joiner.Answer
 	err := errors.New("the router failed")
 	defer func() {
-		// A panic here is outside the HTTP handler: it would end the process
-		// and with it every other stream.
+		// This goroutine is outside the HTTP handler: a panic would end the
+		// process and with it all other streams.
 		if v := recover(); v != nil {
 			r.log.Error("panic in a run", zap.Any("panic", v), zap.Stack("stack"))
 			a, err = nil, &Problem{Status: http.StatusInternalServerError, Code: codeInternal, Outcome: Unknown, Detail: "the router failed"}
 		}
 		if err != nil {
-			err = truthful(run, err)
+			err = withProvenOutcome(run, err)
 		}
 		r.joiner.End(time.Now(), q.key, run, a, err)
 	}()
 	a, err = r.obtain(link.Resume(run.Context()), q, run)
 }
 
-// truthful gives the failure of a run the outcome that is proved: "not run"
-// only where the run was never dispatched and no earlier one can have been.
-func truthful(run *joiner.Run, err error) error {
+// withProvenOutcome sets the outcome of a run's error to what can be proved:
+// "not run" only if neither this run nor an earlier one can have been
+// dispatched.
+func withProvenOutcome(run *joiner.Run, err error) error {
 	_, proven := run.Stop()
 	p := *problemOf(err)
 	switch {
@@ -124,7 +129,8 @@
 	return &p
 }
 
-// obtain goes on with the run that a sibling has or had, or runs the request.
+// obtain continues a run that a sibling has or had, and otherwise runs the
+// request.
 func (r *Router) obtain(ctx context.Context, q *request, run *joiner.Run) (*joiner.Answer, error) {
 	if a, err := r.takeOver(ctx, q, run); err == nil {
 		return a, nil
@@ -135,21 +141,21 @@
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	r.tell(q, joiner.Stream{})
+	r.queueRunRecord(q, joiner.Stream{})
 	if q.repeatable {
 		return r.serve(ctx, q, run)
 	}
-	return r.serveOnce(ctx, q, run)
+	return r.serveAtMostOnce(ctx, q, run)
 }
 
 var errNothingToTakeOver = errors.New("no run to take over")
 
-// takeOver joins the run of the sibling that was home before, or resumes its
-// stream on the engine where the sibling is lost.
+// takeOver joins the run of the sibling that was the request's home before, or
+// resumes its stream at the engine if the sibling is lost.
 func (r *Router) takeOver(ctx context.Context, q *request, run *joiner.Run) (*joiner.Answer, error) {
 	rec, ok := r.records.get(q.key, time.Now())
-	if x := r.homes.all[rec.owner]; ok && x != nil && r.homes.alive(x) {
-		homeCounters.Add("runs_joined_at_sibling", 1)
+	if x := r.peers.byName[rec.owner]; ok && x != nil && r.peers.isAlive(x) {
+		peerCounters.Add("runs_joined_at_sibling", 1)
 		if a, err := r.joinAt(ctx, q, run, x); err == nil {
 			return a, nil
 		}
@@ -161,12 +167,12 @@
 	if s.ID == "" {
 		return nil, errNothingToTakeOver
 	}
-	return r.resumeElsewhere(ctx, q, run, s)
+	return r.resumeFromPeer(ctx, q, run, s)
 }
 
-// resumeElsewhere goes on with a stream that another router began; that is no
+// resumeFromPeer continues a stream that another router started. This is not a
 // new run, so it needs no claim.
-func (r *Router) resumeElsewhere(ctx context.Context, q *request, run *joiner.Run, s joiner.Stream) (*joiner.Answer, error) {
+func (r *Router) resumeFromPeer(ctx context.Context, q *request, run *joiner.Run, s joiner.Stream) (*joiner.Answer, error) {
 	e := r.endpoint(q.service.Name, s.Endpoint)
 	if e == nil {
 		return nil, errNothingToTakeOver
@@ -174,6 +180,6 @@
 	if err := run.Dispatch(); err != nil {
 		return nil, err
 	}
-	homeCounters.Add("streams_resumed", 1)
+	peerCounters.Add("streams_resumed", 1)
 	return r.paid(ctx, q, func() (*joiner.Answer, error) { return r.resumeModel(ctx, q, e, run, s) })
 }
--- a/router/export_test.go
+++ b/router/export_test.go
@@ -2,11 +2,11 @@
 
 import "rattanhoist.example/rattanhoist"
 
-// HomeOf returns which of the routers is home to a request when all live.
+// HomeOf returns the home of a request if all of the given routers are alive.
 func HomeOf(k rattanhoist.RequestKey, routers ...string) string {
 	best := routers[0]
 	for _, r := range routers {
-		if score(r, k) > score(best, k) {
+		if homeScore(r, k) > homeScore(best, k) {
 			best = r
 		}
 	}
--- a/router/feed.go
+++ b/router/feed.go
@@ -6,75 +6,76 @@
 	"rattanhoist.example/rattanhoist/joiner"
 )
 
-// sink takes one answer on its way to a caller, or to another router.
+// sink receives one answer and passes it to a caller or another router.
 type sink interface {
-	// begin names where the bytes from offset 0 come from; what was gathered
-	// before is void.
+	// begin names the stream that provides the bytes from offset 0. Anything
+	// received before is discarded.
 	begin(joiner.Stream) error
-	// chunk takes the bytes that follow those it has.
+	// chunk receives the bytes that follow those already received.
 	chunk(offset int64, text []byte) error
-	// complete ends a whole, billed answer.
+	// complete ends an answer that is complete and billed.
 	complete(*joiner.Answer) error
-	// fail refuses, or marks an answer that has begun as broken.
+	// fail reports an error, or marks an answer that has begun as broken.
 	fail(*Problem)
-	// streamed reports whether bytes go on as they come; otherwise nothing
-	// does before complete.
+	// streamed reports whether bytes are passed on as they arrive, and not only
+	// at complete.
 	streamed() bool
 }
 
-// feed passes the bytes of one run to a sink, each once and in order, also
-// when they come again from the start through another router. Bytes of two
-// runs never mix: a streaming sink that has bytes of one is broken off.
+// feed passes the bytes of one run to a sink, each once and in order, even if
+// they arrive again from the start through another router. Bytes of two runs
+// are never mixed: a streaming sink that has received bytes of one run gets an
+// error instead of another run's bytes.
 type feed struct {
 	sink   sink
 	stream joiner.Stream
-	// Next is the offset that the sink wants next.
-	next int64
+	// nextOffset is the offset of the next byte that the sink expects.
+	nextOffset int64
 }
 
-// begin takes the stream that the bytes to come belong to.
+// begin sets the stream that the following bytes belong to.
 func (f *feed) begin(s joiner.Stream) error {
 	if s.ID != "" && s == f.stream {
 		return nil
 	}
-	if f.next > 0 && f.sink.streamed() {
+	if f.nextOffset > 0 && f.sink.streamed() {
 		return joiner.ErrPassed
 	}
-	f.next, f.stream = 0, s
+	f.nextOffset, f.stream = 0, s
 	return f.sink.begin(s)
 }
 
-// chunk passes on what the sink does not have yet.
+// chunk passes on the bytes that the sink has not received yet.
 func (f *feed) chunk(offset int64, text []byte) error {
-	if offset > f.next {
-		return ErrFragment
+	if offset > f.nextOffset {
+		return ErrIncomplete
 	}
-	have := f.next - offset
+	have := f.nextOffset - offset
 	if have >= int64(len(text)) {
 		return nil
 	}
 	text = text[have:]
-	if err := f.sink.chunk(f.next, text); err != nil {
+	if err := f.sink.chunk(f.nextOffset, text); err != nil {
 		return err
 	}
-	f.next += int64(len(text))
+	f.nextOffset += int64(len(text))
 	return nil
 }
 
-// complete ends the answer; a shorter or longer one than its mark is not
-// passed on as whole.
+// complete ends the answer. If the length differs from the completion mark, it
+// returns ErrIncomplete instead.
 func (f *feed) complete(a *joiner.Answer) error {
-	if a.Length != f.next {
-		return ErrFragment
+	if a.Length != f.nextOffset {
+		return ErrIncomplete
 	}
 	return f.sink.complete(a)
 }
 
-// begun reports whether the caller has had bytes.
-func (f *feed) begun() bool { return f.next > 0 && f.sink.streamed() }
+// begun reports whether bytes have reached the caller.
+func (f *feed) begun() bool { return f.nextOffset > 0 && f.sink.streamed() }
 
-// follow passes a run's bytes on until it ends.
-func follow(ctx context.Context, run *joiner.Run, f *feed) error {
+// feedRun passes the bytes of a run to a feed until the run ends.
+func feedRun(ctx context.Context, run *joiner.Run, f *feed) error {
 	if !f.sink.streamed() {
 		if err := run.Wait(ctx); err != nil {
 			return err
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -19,6 +19,7 @@
 	"rattanhoist.example/rattanhoist/loader"
 )
 
+// The seed and the number of rapid checks come from FUZZ_SEED and FUZZ_CHECKS.
 func init() {
 	seed := "7"
 	if s := os.Getenv("FUZZ_SEED"); s != "" {
@@ -32,10 +33,11 @@
 
 func TestMain(m *testing.M) { launcher.Main(m) }
 
-// call is a caller's request.
+// call is a request of a caller.
 type call = imitator.Call
 
-// fleet is a deployment with one workspace, a model and a plain service.
+// fleet is a running deployment with one workspace, a model service and a plain
+// service.
 type fleet struct {
 	*launcher.Fleet
 	t   *testing.T
@@ -44,37 +46,40 @@
 }
 
 const (
-	workspace = "labone-surveys"
-	prepaid   = "50000000"
+	workspace     = "labone-surveys"
+	prepaidTokens = "50000000"
 )
 
-// places bounds the deployments that run at once.
-var places = make(chan struct{}, 3)
+// fleetSlots bounds the number of deployments that run at once.
+var fleetSlots = make(chan struct{}, 3)
 
-// startShared is startFleet for tests that may run beside others.
-func startShared(t *testing.T, o launcher.Options) *fleet {
+// startParallelFleet is startFleet for tests that may run in parallel with
+// others.
+func startParallelFleet(t *testing.T, o launcher.Options) *fleet {
 	t.Helper()
 	t.Parallel()
-	places <- struct{}{}
-	t.Cleanup(func() { <-places })
+	fleetSlots <- struct{}{}
+	t.Cleanup(func() { <-fleetSlots })
 	return startFleet(t, o)
 }
 
+// startFleet starts a deployment, creates the workspace, the services and the
+// budget, and waits until all routers are ready.
 func startFleet(t *testing.T, o launcher.Options) *fleet {
 	t.Helper()
 	f := &fleet{Fleet: launcher.Start(t, o), t: t, g: gomega.NewWithT(t)}
-	f.command("config", "show")
-	var made struct{ Key string }
+	f.commandEventually("config", "show")
+	var created struct{ Key string }
 	f.Eventually("workspace is made", func() bool {
 		out, code := f.Command("workspace", "create", workspace)
-		return code == 0 && json.Unmarshal([]byte(out), &made) == nil
+		return code == 0 && json.Unmarshal([]byte(out), &created) == nil
 	})
-	f.key = made.Key
-	f.command("service", "set", "llm", "--kind", "model", "--model", "m", "--prompt-price", "1", "--answer-price", "2", "--max-answer-tokens", "4096")
-	f.command("service", "set", "desk", "--kind", "plain", "--call-price", "5")
-	f.command("statement", "set", "all")
+	f.key = created.Key
+	f.commandEventually("service", "set", "llm", "--kind", "model", "--model", "m", "--prompt-price", "1", "--answer-price", "2", "--max-answer-tokens", "4096")
+	f.commandEventually("service", "set", "desk", "--kind", "plain", "--call-price", "5")
+	f.commandEventually("statement", "set", "all")
 	zone := f.Settings().Zones()[0]
-	f.command("budget", "topup", workspace, prepaid, "--id", zone+"/receipt-1")
+	f.commandEventually("budget", "topup", workspace, prepaidTokens, "--id", zone+"/receipt-1")
 	for _, p := range f.Settings().Processes(loader.KindRouter) {
 		f.Eventually(p.Name()+" is ready", func() bool { return f.Ready(p.Name()) })
 	}
@@ -82,9 +87,9 @@
 	return f
 }
 
-// command repeats an operator's idempotent command until it succeeds: the
-// keepers may still be starting.
-func (f *fleet) command(args ...string) {
+// commandEventually repeats an idempotent operator command until it succeeds,
+// because the keepers may still be starting.
+func (f *fleet) commandEventually(args ...string) {
 	f.t.Helper()
 	f.Eventually(strings.Join(args, " "), func() bool {
 		_, code := f.Command(args...)
@@ -92,12 +97,14 @@
 	})
 }
 
+// http returns the HTTP address of a router.
 func (f *fleet) http(router string) string {
 	p, err := f.Settings().Process(loader.KindRouter, router)
 	f.g.Expect(err).NotTo(gomega.HaveOccurred())
 	return p.HTTP()
 }
 
+// model returns a streamed request to the model service.
 func (f *fleet) model(router, id string, tokens int64) imitator.Call {
 	return imitator.Call{
 		Router: f.http(router), Key: f.key, RequestID: id, Model: "m", Prompt: "room " + id,
@@ -105,6 +112,7 @@
 	}
 }
 
+// plain returns a request to the plain service.
 func (f *fleet) plain(router, id string) imitator.Call {
 	return imitator.Call{
 		Router: f.http(router), Key: f.key, RequestID: id, Service: "desk", Path: "/ledger/" + id,
@@ -112,8 +120,8 @@
 	}
 }
 
-// served waits until a service answers through every router.
-func (f *fleet) served(call func(router, id string) imitator.Call) {
+// awaitService waits until a service answers through every router.
+func (f *fleet) awaitService(call func(router, id string) imitator.Call) {
 	f.t.Helper()
 	for _, p := range f.Settings().Processes(loader.KindRouter) {
 		f.Eventually("a first request through "+p.Name(), func() bool {
@@ -123,7 +131,8 @@
 	}
 }
 
-// runs counts the begun runs of each request over the run logs.
+// runs counts the runs of each request that have begun, according to the run
+// logs.
 func (f *fleet) runs(endpoints ...string) map[string]int {
 	f.t.Helper()
 	n := map[string]int{}
@@ -142,13 +151,14 @@
 }
 
 // bills counts the charges of each request in each zone. A charge that was
-// reversed, because another zone's counts, stays in the history and is none.
+// reversed because the charge of another zone counts stays in the history and
+// is left out.
 func (f *fleet) bills() map[string]map[string]int {
 	f.t.Helper()
 	return f.billsOf(f.MustCommand("budget", "history", workspace, "-o", "json"))
 }
 
-// billsOf reads a history.
+// billsOf counts the charges in the JSON of a budget history.
 func (f *fleet) billsOf(history string) map[string]map[string]int {
 	f.t.Helper()
 	var out struct {
@@ -182,13 +192,14 @@
 	return total
 }
 
-func refused(err error) *imitator.Refusal {
+// refusalOf returns the refusal in an error, or nil.
+func refusalOf(err error) *imitator.Refusal {
 	var r *imitator.Refusal
 	errors.As(err, &r)
 	return r
 }
 
-// ticket takes a ticket from a router.
+// ticket requests a ticket from a router.
 func (f *fleet) ticket(router string) string {
 	f.t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+f.http(router)+"/v1/tickets", nil)
--- a/router/gate.go
+++ b/router/gate.go
@@ -6,38 +6,42 @@
 	"time"
 )
 
-// gate counts work in progress. Once closed it lets nothing new in, and the
-// last one out can be waited for.
+// gate counts work in progress. Once closed, it admits no new work, and callers
+// can wait until the existing work has ended.
 type gate struct {
-	inside atomic.Int64
+	active atomic.Int64
 	closed atomic.Bool
 }
 
-// enter counts work in; it reports false when the gate is closed. Counting
-// before looking leaves no moment in which work is in and not waited for.
+// enter counts new work and returns false if the gate is closed. It counts
+// before it checks, so there is no moment in which work is admitted but not
+// waited for.
 func (g *gate) enter() bool {
-	g.inside.Add(1)
+	g.active.Add(1)
 	if g.closed.Load() {
-		g.inside.Add(-1)
+		g.active.Add(-1)
 		return false
 	}
 	return true
 }
 
-// follow counts work in that belongs to work that is inside already.
-func (g *gate) follow() { g.inside.Add(1) }
+// add counts work that is started by work already counted. It succeeds even if
+// the gate is closed.
+func (g *gate) add() { g.active.Add(1) }
 
-func (g *gate) leave() { g.inside.Add(-1) }
+// leave must be called when counted work has ended.
+func (g *gate) leave() { g.active.Add(-1) }
 
+// close stops the admission of new work.
 func (g *gate) close() { g.closed.Store(true) }
 
-const gatePoll = 20 * time.Millisecond
+const gatePollInterval = 20 * time.Millisecond
 
-// wait waits until nothing is inside.
+// wait blocks until no work is in progress.
 func (g *gate) wait(ctx context.Context) error {
-	t := time.NewTicker(gatePoll)
+	t := time.NewTicker(gatePollInterval)
 	defer t.Stop()
-	for g.inside.Load() > 0 {
+	for g.active.Load() > 0 {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/router/handler.go
+++ b/router/handler.go
@@ -16,19 +16,20 @@
 	"rattanhoist.example/rattanhoist/tracer"
 )
 
-// handler returns the HTTP surface for callers and endpoints.
+// handler returns the HTTP handler for callers and endpoints.
 func (r *Router) handler() http.Handler {
 	m := http.NewServeMux()
-	callers := alice.New(tracer.Middleware, r.recoverPanic, r.admitReady, boundBody(bodyTimeout))
-	m.Handle("POST /v1/chat/completions", callers.ThenFunc(r.chat))
+	callers := alice.New(tracer.Middleware, r.recoverPanic, r.requireReady, boundBody(bodyTimeout))
+	m.Handle("POST /v1/chat/completions", callers.ThenFunc(r.handleChat))
 	m.Handle("POST /v1/tickets", callers.ThenFunc(r.issueTicket))
-	m.Handle("/v1/services/{service}/{path...}", callers.ThenFunc(r.plain))
-	m.Handle("POST /v1/endpoints", alice.New(r.recoverPanic, r.endpointKey, boundBody(bodyTimeout)).ThenFunc(r.announce))
-	m.HandleFunc("GET /healthz", r.health)
+	m.Handle("/v1/services/{service}/{path...}", callers.ThenFunc(r.handlePlain))
+	m.Handle("POST /v1/endpoints", alice.New(r.recoverPanic, r.requireEndpointKey, boundBody(bodyTimeout)).ThenFunc(r.handleAnnounce))
+	m.HandleFunc("GET /healthz", r.handleHealth)
 	m.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("alive\n")) })
 	return m
 }
 
+// recoverPanic is middleware that answers a request whose handler panics.
 func (r *Router) recoverPanic(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		defer func() {
@@ -43,41 +44,43 @@
 	})
 }
 
-// admitReady counts a request in, or refuses it before the configuration is
-// known and while draining.
-func (r *Router) admitReady(next http.Handler) http.Handler {
+// requireReady is middleware that counts requests in progress. It refuses them
+// while the router drains or does not know the configuration and its siblings
+// yet.
+func (r *Router) requireReady(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if !r.gate.enter() {
-			r.refuseUnread(drainingProblem(), w, q)
+			r.refuseUnparsed(drainingProblem(), w, q)
 			return
 		}
 		defer r.gate.leave()
 		activeRequests.Add(1)
 		defer activeRequests.Add(-1)
 		if !r.ready() {
-			r.refuseUnread(&Problem{Status: http.StatusServiceUnavailable, Code: CodeNotReady, Outcome: NotRun, Detail: "this router does not know the configuration or its zone's routers yet", After: retrySoon}, w, q)
+			r.refuseUnparsed(&Problem{Status: http.StatusServiceUnavailable, Code: CodeNotReady, Outcome: NotRun, Detail: "this router does not know the configuration or its zone's routers yet", After: retrySoon}, w, q)
 			return
 		}
 		next.ServeHTTP(w, q)
 	})
 }
 
-// refuseUnread refuses a request whose identity was not looked at. Of one that
-// says that it may not be repeated an earlier attempt may have run, so that
-// "not run" would say more than is known.
-func (r *Router) refuseUnread(p *Problem, w http.ResponseWriter, q *http.Request) {
+// refuseUnparsed refuses a request before its identity is checked. If the
+// request may not be repeatable, an earlier attempt may have run, so the
+// outcome is "unknown" instead of "not run".
+func (r *Router) refuseUnparsed(p *Problem, w http.ResponseWriter, q *http.Request) {
 	p.RequestID = q.Header.Get(headerIdempotencyKey)
 	ticket := q.Header.Get(headerTicket) != ""
-	if ticket || p.RequestID != "" && r.maybeOnce(q) {
+	if ticket || p.RequestID != "" && r.mayBeNonRepeatable(q) {
 		p.Outcome = Unknown
 	}
 	p.write(w)
 }
 
-// maybeOnce reports whether an unread request may be one that must not be
-// repeated. Of a chat only the body would tell the service, so one such service
-// of models makes every chat doubtful.
-func (r *Router) maybeOnce(q *http.Request) bool {
+// mayBeNonRepeatable reports whether a request that was not parsed may be one
+// that must not be repeated. The service of a chat request is known only from
+// the body, so a single model service that is not repeatable makes every chat
+// request doubtful.
+func (r *Router) mayBeNonRepeatable(q *http.Request) bool {
 	if v := q.Header.Get(headerRepeatable); v != "" {
 		repeatable, err := strconv.ParseBool(v)
 		return err == nil && !repeatable
@@ -94,7 +97,8 @@
 	return err == nil && service.NotRepeatable
 }
 
-func (r *Router) endpointKey(next http.Handler) http.Handler {
+// requireEndpointKey is middleware that checks the bearer key of endpoints.
+func (r *Router) requireEndpointKey(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if key := bearerKey(q); subtle.ConstantTimeCompare([]byte(key), r.settings.EndpointKey()) != 1 {
 			(&Problem{Status: http.StatusUnauthorized, Code: CodeUnknownKey, Field: "Authorization", Outcome: NotRun, Detail: "want the endpoints' key as bearer token"}).write(w)
@@ -104,7 +108,9 @@
 	})
 }
 
-func (r *Router) health(w http.ResponseWriter, _ *http.Request) {
+// handleHealth serves GET /healthz: 200 if the router is ready and not
+// draining.
+func (r *Router) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	if r.gate.closed.Load() || !r.ready() {
 		http.Error(w, r.life.Current(), http.StatusServiceUnavailable)
 		return
@@ -112,32 +118,34 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
+// parser returns a request parser for the configuration in use.
 func (r *Router) parser() parser {
 	p := r.settings.Policy()
 	return parser{
 		snapshot: r.snapshot.Load(), maxBody: p.MaxBody(),
 		defaultTimeout: p.DefaultTimeout(), maxTimeout: p.MaxTimeout(), now: time.Now(),
-		newID: r.newID,
+		newID: r.newRequestID,
 	}
 }
 
-// newIDTries bounds the search for an id whose home is this router.
-const newIDTries = 32
+// maxIDAttempts bounds the search for an id whose home is this router.
+const maxIDAttempts = 32
 
-// newID makes an id whose home is this router where it can, which saves a
-// request without an id the way to another.
-func (r *Router) newID(workspace string) string {
+// newRequestID generates an id for a request without one. If possible, its home
+// is this router, which saves a relay to another router.
+func (r *Router) newRequestID(workspace string) string {
 	var id string
-	for range newIDTries {
+	for range maxIDAttempts {
 		id = uuid.NewString()
-		if r.homes.home(rattanhoist.NewRequestKey(workspace, id), nil) == nil {
+		if r.peers.homeOf(rattanhoist.NewRequestKey(workspace, id), nil) == nil {
 			break
 		}
 	}
 	return id
 }
 
-func (r *Router) chat(w http.ResponseWriter, h *http.Request) {
+// handleChat serves POST /v1/chat/completions.
+func (r *Router) handleChat(w http.ResponseWriter, h *http.Request) {
 	q, err := r.parser().chat(h)
 	if err != nil {
 		problemOf(err).write(w)
@@ -149,12 +157,13 @@
 	if q.streamed {
 		s = &streamSink{w: w, request: q}
 	}
-	r.answer(h.Context(), q, s)
+	r.respond(h.Context(), q, s)
 }
 
 const servicesPath = "/v1/services/"
 
-func (r *Router) plain(w http.ResponseWriter, h *http.Request) {
+// handlePlain serves requests to plain services.
+func (r *Router) handlePlain(w http.ResponseWriter, h *http.Request) {
 	service := h.PathValue("service")
 	path := strings.TrimPrefix(h.URL.EscapedPath(), servicesPath+service)
 	q, err := r.parser().plain(h, service, path)
@@ -164,11 +173,12 @@
 	}
 	boundWrite(w, q.deadline)
 	w.Header().Set(headerRequestID, q.key.RequestID())
-	r.answer(h.Context(), q, &plainSink{w: w})
+	r.respond(h.Context(), q, &plainSink{w: w})
 }
 
-// answer gives the caller its answer or the refusal, by its deadline.
-func (r *Router) answer(ctx context.Context, q *request, s sink) {
+// respond writes the answer or the refusal to the sink, at the latest at the
+// deadline.
+func (r *Router) respond(ctx context.Context, q *request, s sink) {
 	ctx, cancel := context.WithDeadline(ctx, q.deadline)
 	defer cancel()
 	began := time.Now()
--- a/router/header.go
+++ b/router/header.go
@@ -10,20 +10,22 @@
 	"rattanhoist.example/rattanhoist/joiner"
 )
 
-// requestHeaders are those of a plain call that reach the service.
-var requestHeaders = []string{
+// forwardedRequestHeaders are the headers that a request passes to a plain
+// service.
+var forwardedRequestHeaders = []string{
 	"Accept", "Accept-Encoding", "Accept-Language", "Content-Encoding", "Content-Language", "Content-Type",
 	"If-Match", "If-Modified-Since", "If-None-Match", "If-Unmodified-Since", "Prefer", "Range",
 }
 
-// answerHeaders are those of a plain service's answer that reach the caller.
-var answerHeaders = []string{
+// forwardedAnswerHeaders are the headers that a plain service's answer passes
+// to the caller.
+var forwardedAnswerHeaders = []string{
 	"Accept-Ranges", "Allow", "Cache-Control", "Content-Disposition", "Content-Encoding", "Content-Language",
 	"Content-Range", "Content-Type", "Etag", "Expires", "Last-Modified", "Link", "Location", "Retry-After", "Vary",
 }
 
-// bearerKey returns the key of a request, "" for none. The scheme's case does
-// not matter (RFC 9110).
+// bearerKey returns the bearer key of a request, or "". The scheme is
+// case-insensitive (RFC 9110).
 func bearerKey(r *http.Request) string {
 	scheme, key, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") {
@@ -32,8 +34,8 @@
 	return key
 }
 
-// only returns the headers on the list.
-func only(h http.Header, list []string) http.Header {
+// filterHeader returns the headers whose names are in list.
+func filterHeader(h http.Header, list []string) http.Header {
 	out := http.Header{}
 	for _, name := range list {
 		if v := h.Values(name); len(v) > 0 {
@@ -43,9 +45,9 @@
 	return out
 }
 
-// digestOf sums up what a request asks for: an id that comes back with
+// requestDigest hashes the content of a request. An id that is used again with
 // another digest belongs to another request.
-func digestOf(q *request) joiner.Digest {
+func requestDigest(q *request) joiner.Digest {
 	d := sha256.New()
 	part := func(b []byte) {
 		var n [8]byte
@@ -60,7 +62,7 @@
 		part([]byte("repeatable"))
 	}
 	part(q.body)
-	for _, name := range requestHeaders {
+	for _, name := range forwardedRequestHeaders {
 		values := slices.Clone(q.header[name])
 		slices.Sort(values)
 		for _, v := range values {
--- a/router/home.go
+++ b/router/home.go
@@ -15,67 +15,79 @@
 )
 
 const (
-	beatEvery = 250 * time.Millisecond
-	// siblingMaxAge is the age of the last beat from which a router is home
-	// to nothing.
-	siblingMaxAge = time.Second
-	// recordQueue bounds the records that wait for a beat; beyond it they are
-	// dropped and counted, which costs a resume and no truth.
-	recordQueue = 4096
+	// heartbeatInterval is the pause between two heartbeats to a sibling.
+	heartbeatInterval = 250 * time.Millisecond
+	// peerTimeout is how long after a router was last heard it is considered
+	// dead; it is then no longer the home of any request.
+	peerTimeout = time.Second
+	// recordQueueSize bounds the run records that wait for a heartbeat. Further
+	// records are dropped and counted; without a record a stream can't be
+	// resumed, but no answer becomes wrong.
+	recordQueueSize = 4096
 )
 
-// sibling is another router of the deployment.
-type sibling struct {
+// peer is another router of the deployment.
+type peer struct {
 	process loader.Process
 	conn    *grpc.ClientConn
 	client  messenger.HomeRouterClient
-	// Heard is when it last answered, in nanoseconds after the start.
-	heard atomic.Int64
-	// Tried is when a beat to it last ended in time, answered or not.
-	tried atomic.Int64
-	// ReachedBy is since when it has reached this router; notReached for never.
-	reachedBy atomic.Int64
-	draining  atomic.Bool
-	// Kick has the next beat sent at once.
-	kick chan struct{}
-	// Life ends when the sibling is taken for dead; a new one follows when it
-	// is heard again.
-	life atomic.Pointer[life]
-	// Mu is held to begin or end a life, so that one that is alive has one.
+	// lastHeard is when the peer last answered, in nanoseconds after the start.
+	lastHeard atomic.Int64
+	// lastAttempt is when a heartbeat to the peer last ended in time, answered
+	// or not.
+	lastAttempt atomic.Int64
+	// reachedSince is since when the peer has reached this router, or
+	// notReached.
+	reachedSince atomic.Int64
+	draining     atomic.Bool
+	// wake makes the next heartbeat go out at once.
+	wake chan struct{}
+	// session ends when the peer is considered dead. A new one starts when the
+	// peer is heard again.
+	session atomic.Pointer[session]
+	// mu is held to start or end a session, so that a peer that is alive always
+	// has one.
 	mu      sync.Mutex
 	records chan *messenger.RunRecord
 }
 
-type life struct {
+// session is the context of everything that waits for one incarnation of a
+// peer.
+type session struct {
 	context.Context
-	end context.CancelFunc
-	// Began is in nanoseconds after the router's start.
-	began int64
-	// Incarnation is the sibling's; 0 until a beat has told it.
+	cancel context.CancelFunc
+	// startedAt is in nanoseconds after the router's start.
+	startedAt int64
+	// incarnation is the peer's incarnation, or 0 until a heartbeat reply has
+	// told it.
 	incarnation uint64
 }
 
-func newLife(began int64, incarnation uint64) *life {
+// newSession starts a session of an incarnation.
+func newSession(startedAt int64, incarnation uint64) *session {
 	ctx, end := context.WithCancel(context.Background())
-	return &life{Context: ctx, end: end, began: began, incarnation: incarnation}
+	return &session{Context: ctx, cancel: end, startedAt: startedAt, incarnation: incarnation}
 }
 
-// homes are the routers of the deployment as this one sees them; the list is
-// immutable, the liveness atomic.
-type homes struct {
+// peerTable holds the state of the deployment's other routers and assigns
+// requests to their home: the router of the zone that runs a request, chosen by
+// rendezvous hashing. The lists are immutable; the states change atomically.
+type peerTable struct {
 	self  loader.Process
 	start time.Time
-	// Zone lists the siblings of the own zone, all those of the deployment.
-	zone []*sibling
-	all  map[string]*sibling
-	// HasSettled latches settled.
+	// siblings are the peers of the own zone; byName holds all peers.
+	siblings []*peer
+	byName   map[string]*peer
+	// hasSettled is set once settled has returned true.
 	hasSettled atomic.Bool
 }
 
-func newHomes(s *loader.Settings, self loader.Process, d *messenger.Dialer) (*homes, func(), error) {
-	h := &homes{self: self, start: time.Now(), all: map[string]*sibling{}}
+// newPeerTable connects to all other routers; the returned function closes the
+// connections.
+func newPeerTable(s *loader.Settings, self loader.Process, d *messenger.Dialer) (*peerTable, func(), error) {
+	h := &peerTable{self: self, start: time.Now(), byName: map[string]*peer{}}
 	cleanUp := func() {
-		for _, x := range h.all {
+		for _, x := range h.byName {
 			_ = x.conn.Close()
 		}
 	}
@@ -88,78 +100,82 @@
 			cleanUp()
 			return nil, nil, err
 		}
-		x := &sibling{process: p, conn: conn, client: messenger.NewHomeRouterClient(conn), records: make(chan *messenger.RunRecord, recordQueue), kick: make(chan struct{}, 1)}
-		x.heard.Store(-int64(siblingMaxAge))
-		x.reachedBy.Store(notReached)
-		x.life.Store(newLife(0, 0))
-		x.life.Load().end()
-		h.all[p.Name()] = x
+		x := &peer{process: p, conn: conn, client: messenger.NewHomeRouterClient(conn), records: make(chan *messenger.RunRecord, recordQueueSize), wake: make(chan struct{}, 1)}
+		x.lastHeard.Store(-int64(peerTimeout))
+		x.reachedSince.Store(notReached)
+		x.session.Store(newSession(0, 0))
+		x.session.Load().cancel()
+		h.byName[p.Name()] = x
 		if p.Zone() == self.Zone() {
-			h.zone = append(h.zone, x)
+			h.siblings = append(h.siblings, x)
 		}
 	}
 	return h, cleanUp, nil
 }
 
-// hear notes a sibling's answer to a beat. A life is that of one incarnation:
-// what waits for a sibling that was started anew waits for nothing. One that a
-// sign of life began goes on: that came over the connection of the beat.
-func (h *homes) hear(x *sibling, b *messenger.BeatReply) {
+// recordReply stores the reply to a heartbeat. A session belongs to one
+// incarnation: calls that wait for a router that has since been restarted would
+// wait for nothing. A session that markAlive started continues, because the
+// message that it noted came over the connection of the heartbeat.
+func (h *peerTable) recordReply(x *peer, b *messenger.BeatReply) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	l := x.life.Load()
+	l := x.session.Load()
 	switch {
 	case l.Err() == nil && l.incarnation == 0:
-		x.life.Store(&life{Context: l.Context, end: l.end, began: l.began, incarnation: b.Incarnation})
+		x.session.Store(&session{Context: l.Context, cancel: l.cancel, startedAt: l.startedAt, incarnation: b.Incarnation})
 	case l.Err() != nil || l.incarnation != b.Incarnation:
-		l.end()
-		x.life.Store(newLife(h.now(), b.Incarnation))
+		l.cancel()
+		x.session.Store(newSession(h.now(), b.Incarnation))
 	}
 	x.draining.Store(b.Draining)
-	x.heard.Store(h.now())
+	x.lastHeard.Store(h.now())
 	h.reached(x, b.ReachedForMs)
 }
 
-// revive notes a sign of life that is no answer to a beat.
-func (h *homes) revive(x *sibling) {
+// markAlive records a message of a peer that is not a reply to a heartbeat.
+func (h *peerTable) markAlive(x *peer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.life.Load().Err() != nil {
-		x.life.Store(newLife(h.now(), 0))
+	if x.session.Load().Err() != nil {
+		x.session.Store(newSession(h.now(), 0))
 	}
-	x.heard.Store(h.now())
+	x.lastHeard.Store(h.now())
 }
 
-// alive reports whether a sibling was heard within siblingMaxAge. It reads
-// the age at the moment of use: a router that was stopped wakes up with an
-// old view.
-func (h *homes) alive(x *sibling) bool {
-	return h.now()-x.heard.Load() < int64(siblingMaxAge)
+// isAlive reports whether a peer was heard within peerTimeout. It compares with
+// the current time at each call, because a router that was stopped wakes up
+// with an outdated view.
+func (h *peerTable) isAlive(x *peer) bool {
+	return h.now()-x.lastHeard.Load() < int64(peerTimeout)
 }
 
-// score ranks a router for a request; every router computes the same.
-func score(router string, k rattanhoist.RequestKey) uint64 {
+// homeScore ranks a router as home of a request. All routers compute the same
+// values.
+func homeScore(router string, k rattanhoist.RequestKey) uint64 {
 	return xxhash.Sum64String(router + "\x00" + k.Workspace() + "\x00" + k.RequestID())
 }
 
-// home returns the sibling that is home to a request, or nil for this router:
-// the live router of the zone with the highest score, so that the loss of one
-// moves only its own requests.
-func (h *homes) home(k rattanhoist.RequestKey, tried map[string]bool) *sibling {
-	x := h.best(k, tried)
-	if x == nil || score(x.process.Name(), k) <= score(h.self.Name(), k) {
+// homeOf returns the sibling that is the home of a request, or nil if that is
+// this router. The home is the live router of the zone with the highest score,
+// so the loss of a router moves only its own requests. Siblings in tried are
+// left out.
+func (h *peerTable) homeOf(k rattanhoist.RequestKey, tried map[string]bool) *peer {
+	x := h.bestSibling(k, tried)
+	if x == nil || homeScore(x.process.Name(), k) <= homeScore(h.self.Name(), k) {
 		return nil
 	}
 	return x
 }
 
-// next returns the siblings that would be home after this router, best first.
-func (h *homes) next(k rattanhoist.RequestKey) []*sibling {
+// successors returns the siblings that would be home after this router, best
+// first.
+func (h *peerTable) successors(k rattanhoist.RequestKey) []*peer {
 	const most = 2
 	tried := map[string]bool{}
-	var out []*sibling
+	var out []*peer
 	for len(out) < most {
-		x := h.best(k, tried)
+		x := h.bestSibling(k, tried)
 		if x == nil {
 			break
 		}
@@ -169,16 +185,16 @@
 	return out
 }
 
-// best returns the live sibling of the zone with the highest score that is not
-// in tried, or nil.
-func (h *homes) best(k rattanhoist.RequestKey, tried map[string]bool) *sibling {
-	var best *sibling
+// bestSibling returns the live sibling with the highest score that is not
+// draining and not in tried, or nil.
+func (h *peerTable) bestSibling(k rattanhoist.RequestKey, tried map[string]bool) *peer {
+	var best *peer
 	var most uint64
-	for _, x := range h.zone {
-		if tried[x.process.Name()] || x.draining.Load() || !h.alive(x) {
+	for _, x := range h.siblings {
+		if tried[x.process.Name()] || x.draining.Load() || !h.isAlive(x) {
 			continue
 		}
-		if s := score(x.process.Name(), k); best == nil || s > most {
+		if s := homeScore(x.process.Name(), k); best == nil || s > most {
 			best, most = x, s
 		}
 	}
--- a/router/home_server.go
+++ b/router/home_server.go
@@ -9,39 +9,40 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// chunkBytes bounds the text of one message between routers.
-const chunkBytes = 256 << 10
+// maxChunkBytes bounds the text in one message between routers.
+const maxChunkBytes = 256 << 10
 
-// homeServer serves the other routers.
+// homeServer serves the calls of other routers to the home of a request.
 type homeServer struct {
 	messenger.UnimplementedHomeRouterServer
 	router *Router
 }
 
 // Answer runs or joins a request for another router. A draining router still
-// gives the answers of runs that are in progress.
+// answers from runs in progress.
 func (s *homeServer) Answer(a *messenger.AnswerRequest, out messenger.HomeRouter_AnswerServer) error {
 	r := s.router
 	open := r.gate.enter()
 	if !open {
-		r.gate.follow()
+		r.gate.add()
 	}
 	defer r.gate.leave()
 	sink := &rpcSink{out: out, wantsStream: a.Streamed}
-	q, err := r.requestOf(a)
+	q, err := r.fromAnswerRequest(a)
 	if err != nil {
 		sink.fail(problemOf(err))
 		return nil
 	}
 	if a.JoinOnly {
-		// The first sign, so that the asker need not wait for bytes to come.
+		// The first message shows that this router is alive, so that the caller
+		// need not wait for the first bytes of the answer.
 		if err := sink.begin(joiner.Stream{}); err != nil {
 			return err
 		}
 	}
 	ctx, cancel := context.WithDeadline(out.Context(), q.deadline)
 	defer cancel()
-	err = r.local(ctx, q, &feed{sink: sink}, a.JoinOnly || !open)
+	err = r.answerLocally(ctx, q, &feed{sink: sink}, a.JoinOnly || !open)
 	if errors.Is(err, joiner.ErrAbsent) && !open {
 		err = drainingProblem()
 	}
@@ -51,6 +52,7 @@
 	return nil
 }
 
+// drainingProblem returns the refusal of a router that is shutting down.
 func drainingProblem() *Problem {
 	return &Problem{Status: http.StatusServiceUnavailable, Code: CodeDraining, Outcome: NotRun, Detail: "this router is shutting down; ask another", After: retrySoon}
 }
@@ -69,7 +71,7 @@
 
 func (s *rpcSink) chunk(offset int64, text []byte) error {
 	for len(text) > 0 {
-		n := min(len(text), chunkBytes)
+		n := min(len(text), maxChunkBytes)
 		err := s.out.Send(&messenger.AnswerEvent{Kind: &messenger.AnswerEvent_Chunk{Chunk: &messenger.AnswerChunk{Offset: offset, Text: text[:n]}}})
 		if err != nil {
 			return err
@@ -80,7 +82,7 @@
 }
 
 func (s *rpcSink) complete(a *joiner.Answer) error {
-	return s.out.Send(&messenger.AnswerEvent{Kind: &messenger.AnswerEvent_End{End: endOf(a)}})
+	return s.out.Send(&messenger.AnswerEvent{Kind: &messenger.AnswerEvent_End{End: toAnswerEnd(a)}})
 }
 
 func (s *rpcSink) fail(p *Problem) {
--- a/router/identity_test.go
+++ b/router/identity_test.go
@@ -33,11 +33,11 @@
 // service.
 func startZone(t *testing.T, net int, pace string) *fleet {
 	t.Helper()
-	f := startShared(t, launcher.Options{Net: net, Zones: []string{"osu-hall"}})
+	f := startParallelFleet(t, launcher.Options{Net: net, Zones: []string{"osu-hall"}})
 	f.StartEndpoint("engine", "llm-1", "llm", "osu-hall", 1, "--capacity", "64", "--pace", pace)
 	f.StartEndpoint("plain", "desk-1", "desk", "osu-hall", 2, "--pace", "5ms")
-	f.served(func(r, id string) call { return f.model(r, id, 4) })
-	f.served(func(r, id string) call { return f.plain(r, "plain-"+id) })
+	f.awaitService(func(r, id string) call { return f.model(r, id, 4) })
+	f.awaitService(func(r, id string) call { return f.plain(r, "plain-"+id) })
 	return f
 }
 
@@ -69,10 +69,10 @@
 		other := f.model(r, "joined", 100)
 		other.Prompt = "another surveyor's room"
 		_, err = other.Do(context.Background())
-		f.g.Expect(refused(err)).NotTo(gomega.BeNil(), "%v", err)
-		f.g.Expect(refused(err).Status).To(gomega.Equal(409))
-		f.g.Expect(refused(err).Code).To(gomega.Equal("id_reused"))
-		f.g.Expect(refused(err).Outcome).To(gomega.Equal("not_run"))
+		f.g.Expect(refusalOf(err)).NotTo(gomega.BeNil(), "%v", err)
+		f.g.Expect(refusalOf(err).Status).To(gomega.Equal(409))
+		f.g.Expect(refusalOf(err).Code).To(gomega.Equal("id_reused"))
+		f.g.Expect(refusalOf(err).Outcome).To(gomega.Equal("not_run"))
 	}
 }
 
@@ -141,9 +141,9 @@
 			if err == nil {
 				continue
 			}
-			f.g.Expect(refused(err)).NotTo(gomega.BeNil(), "%s, streamed %t: %v", fault, stream, err)
+			f.g.Expect(refusalOf(err)).NotTo(gomega.BeNil(), "%s, streamed %t: %v", fault, stream, err)
 			f.g.Expect(fault).NotTo(gomega.BeElementOf("drop", "short", "unmarked"), "%v", err)
-			if refused(err).Outcome == "not_run" {
+			if refusalOf(err).Outcome == "not_run" {
 				f.g.Expect(f.runs("llm-1", "llm-2")[c.RequestID]).To(gomega.BeZero(), c.RequestID)
 			}
 		}
@@ -191,9 +191,9 @@
 // sends it again through another, which runs and bills it too.
 // Cause it guards against: charges that are keyed by request in one zone only.
 func TestBilledOnceThoughTwoZonesRan(t *testing.T) {
-	f := startShared(t, launcher.Options{Net: 76})
+	f := startParallelFleet(t, launcher.Options{Net: 76})
 	f.StartEndpoint("engine", "llm-1", "llm", "osu-hall", 1)
-	f.served(func(r, id string) call { return f.model(r, id, 4) })
+	f.awaitService(func(r, id string) call { return f.model(r, id, 4) })
 	for _, r := range []string{"osu-hall-1", "tema-hall-1"} {
 		_, err := f.model(r, "twice", 20).Do(context.Background())
 		f.g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -208,11 +208,11 @@
 // and with an id; the id runs on the other side and comes back after the heal.
 // Cause it guards against: claims that a minority grants.
 func TestCutZoneClaimsOnlyByItsTicket(t *testing.T) {
-	f := startShared(t, launcher.Options{Net: 80})
+	f := startParallelFleet(t, launcher.Options{Net: 80})
 	for i, z := range f.Settings().Zones() {
 		f.StartEndpoint("plain", "desk-"+z, "desk", z, i+1, "--pace", "5ms")
 	}
-	f.served(f.plain)
+	f.awaitService(f.plain)
 	once := func(router, id string) error {
 		c := f.plain(router, id)
 		c.NotRepeatable, c.Path, c.Timeout = true, "/ledger/1", 4*time.Second
@@ -226,9 +226,9 @@
 	}
 	f.g.Expect(once("osu-hall-1", ticket)).To(gomega.Succeed())
 	err := once("osu-hall-2", "ledger-7")
-	f.g.Expect(refused(err)).NotTo(gomega.BeNil(), "%v", err)
-	f.g.Expect(refused(err).Code).To(gomega.Equal("claim_undecided"))
-	f.g.Expect(refused(err).Outcome).To(gomega.Equal("unknown"))
+	f.g.Expect(refusalOf(err)).NotTo(gomega.BeNil(), "%v", err)
+	f.g.Expect(refusalOf(err).Code).To(gomega.Equal("claim_undecided"))
+	f.g.Expect(refusalOf(err).Outcome).To(gomega.Equal("unknown"))
 	f.g.Expect(once("tema-hall-1", "ledger-7")).To(gomega.Succeed())
 	for _, z := range []string{"tema-hall", "legon-hall"} {
 		f.Heal("osu-hall", z)
@@ -289,7 +289,7 @@
 		send := func(router, id string) {
 			f.Eventually(id+" through "+router, func() bool {
 				_, err := f.model(router, id, 20).Do(context.Background())
-				if r := refused(err); r != nil {
+				if r := refusalOf(err); r != nil {
 					f.g.Expect(r.Outcome).To(gomega.Equal("not_run"), "%v", err)
 				}
 				return err == nil
--- a/router/measure_test.go
+++ b/router/measure_test.go
@@ -57,7 +57,7 @@
 	}
 	f := startFleet(t, launcher.Options{Net: 77, Zones: []string{"osu-hall"}})
 	f.StartEndpoint("engine", "llm-1", "llm", "osu-hall", 1, "--capacity", "2000", "--pace", "1ms")
-	f.served(func(r, id string) call { return f.model(r, id, 4) })
+	f.awaitService(func(r, id string) call { return f.model(r, id, 4) })
 	for _, home := range osu {
 		pids := map[string]int{osu[0]: f.PID(osu[0]), osu[1]: f.PID(osu[1])}
 		for _, tokens := range []int64{8, 400} {
--- a/router/overload_test.go
+++ b/router/overload_test.go
@@ -22,7 +22,7 @@
 func TestOverloadRefusesTruthfully(t *testing.T) {
 	f := startFleet(t, launcher.Options{Net: 90, Zones: []string{"osu-hall"}})
 	f.StartEndpoint("engine", "llm-1", "llm", "osu-hall", 1, "--capacity", "2", "--pace", "10ms")
-	f.served(func(r, id string) call { return f.model(r, id, 4) })
+	f.awaitService(func(r, id string) call { return f.model(r, id, 4) })
 	for i := range 20 {
 		_, _ = f.model(osu[i%2], fmt.Sprint("learn-", i), 20).Do(context.Background())
 	}
@@ -39,15 +39,15 @@
 			switch {
 			case err == nil:
 				codes["answered"]++
-			case refused(err) == nil:
+			case refusalOf(err) == nil:
 				t.Errorf("flood-%d: %v", i, err)
 			default:
-				codes[refused(err).Code+" "+refused(err).Outcome]++
-				if refused(err).Code == "overloaded" && refused(err).RetryAfter <= 0 {
+				codes[refusalOf(err).Code+" "+refusalOf(err).Outcome]++
+				if refusalOf(err).Code == "overloaded" && refusalOf(err).RetryAfter <= 0 {
 					t.Errorf("flood-%d: overloaded without a time to come back", i)
 				}
-				if ran := f.runs("llm-1")[c.RequestID]; refused(err).Outcome == "not_run" && ran > 0 {
-					t.Errorf("flood-%d: %s says not run, ran %d times", i, refused(err).Code, ran)
+				if ran := f.runs("llm-1")[c.RequestID]; refusalOf(err).Outcome == "not_run" && ran > 0 {
+					t.Errorf("flood-%d: %s says not run, ran %d times", i, refusalOf(err).Code, ran)
 				}
 			}
 		})
--- a/router/periods.go
+++ b/router/periods.go
@@ -3,8 +3,8 @@
 // Periods of a router's messages, for what is worked out from them.
 const (
 	// BeatEvery is the time between two beats to one sibling.
-	BeatEvery = beatEvery
+	BeatEvery = heartbeatInterval
 	// RenewAfter is the time between two announcements of an endpoint to one
 	// router.
-	RenewAfter = renewAfter
+	RenewAfter = renewInterval
 )
--- a/router/plain_test.go
+++ b/router/plain_test.go
@@ -83,7 +83,7 @@
 // each class of status; an answer that ends with its connection.
 // Cause it guards against: a router that reads more into a call than it must.
 func TestPlainCallsPassThrough(t *testing.T) {
-	f := startShared(t, launcher.Options{Net: 78, Zones: []string{"osu-hall"}})
+	f := startParallelFleet(t, launcher.Options{Net: 78, Zones: []string{"osu-hall"}})
 	f.startDesk(f.EndpointAddress(1))
 	f.Eventually("the desk is known", func() bool { resp, _ := f.send("GET", "/first", ""); return resp.StatusCode == http.StatusOK })
 	resp, body := f.send("PUT", "/parts/a%2Fb?x=1&y=%20z", "wheel", "Accept-Language", "fr", "X-Private", "1")
--- a/router/proof_test.go
+++ b/router/proof_test.go
@@ -50,7 +50,7 @@
 	t.Helper()
 	p := &proof{fleet: startDrain(t, net), told: map[string]map[int64]bool{}}
 	for _, z := range p.Settings().Zones() {
-		p.command("budget", "topup", workspace, prepaid, "--id", z+"/own")
+		p.commandEventually("budget", "topup", workspace, prepaidTokens, "--id", z+"/own")
 	}
 	p.settle()
 	return p
@@ -106,7 +106,7 @@
 		c.Router = p.http(routers[n%len(routers)])
 		var reply *imitator.Reply
 		reply, err = c.Do(ctx)
-		r := refused(err)
+		r := refusalOf(err)
 		_, died := p.died.Load(c.Router)
 		switch {
 		case err == nil:
@@ -139,7 +139,7 @@
 // its caller was told, and the books hold these bills and nothing else.
 func (p *proof) settled(ids []string) {
 	p.t.Helper()
-	p.billedOnce(ids)
+	p.expectBilledOnce(ids)
 	p.Eventually("the books hold the bills", func() bool {
 		var history struct {
 			Charges []struct {
@@ -252,7 +252,7 @@
 		}
 		// Its own answer or a refusal, never the other caller's.
 		err := p.ask(c, sides[1-side]...)
-		if err != nil && (refused(err) == nil || refused(err).Code != "id_reused") {
+		if err != nil && (refusalOf(err) == nil || refusalOf(err).Code != "id_reused") {
 			t.Errorf("%s: %v", c.RequestID, err)
 		}
 		p.answered(c, sides[side]...)
--- a/router/records.go
+++ b/router/records.go
@@ -31,7 +31,7 @@
 
 func (r *records) put(k rattanhoist.RequestKey, x record) {
 	if _, had := r.byKey.Load(k); !had && r.count.Load() >= maxRecords {
-		homeCounters.Add("records_refused", 1)
+		peerCounters.Add("records_refused", 1)
 		return
 	}
 	if _, had := r.byKey.Swap(k, x); !had {
--- a/router/relay.go
+++ b/router/relay.go
@@ -27,16 +27,16 @@
 func (r *Router) answerVia(ctx context.Context, q *request, f *feed) error {
 	tried := map[string]bool{}
 	for {
-		r.homes.await(ctx)
-		x := r.homes.home(q.key, tried)
+		r.peers.await(ctx)
+		x := r.peers.homeOf(q.key, tried)
 		if x == nil {
-			return r.local(ctx, q, f, false)
+			return r.answerLocally(ctx, q, f, false)
 		}
 		err := r.relayTraced(ctx, q, x, f)
 		if ctx.Err() != nil || !askNext(err) {
 			return err
 		}
-		homeCounters.Add("homes_lost", 1)
+		peerCounters.Add("homes_lost", 1)
 		tried[x.process.Name()] = true
 		// The lost home may have run the request; where its bytes came from
 		// is resumed, so that the caller's answer goes on with the same run.
@@ -63,7 +63,7 @@
 }
 
 // joinAt takes a run's answer from the router that has it.
-func (r *Router) joinAt(ctx context.Context, q *request, run *joiner.Run, x *sibling) (*joiner.Answer, error) {
+func (r *Router) joinAt(ctx context.Context, q *request, run *joiner.Run, x *peer) (*joiner.Answer, error) {
 	run.Follow(true)
 	defer run.Follow(false)
 	s := &runSink{run: run}
@@ -74,15 +74,15 @@
 }
 
 // relay asks a sibling for the answer and feeds it on.
-func (r *Router) relay(ctx context.Context, q *request, x *sibling, f *feed, joinOnly bool) error {
+func (r *Router) relay(ctx context.Context, q *request, x *peer, f *feed, joinOnly bool) error {
 	c, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w := watch{homes: r.homes, sibling: x, cancel: cancel}
-	if x.life.Load().Err() == nil {
+	w := watch{homes: r.peers, sibling: x, cancel: cancel}
+	if x.session.Load().Err() == nil {
 		w.begin()
 	}
 	defer w.end()
-	ask := askOf(q, joinOnly)
+	ask := toAnswerRequest(q, joinOnly)
 	ask.Streamed = f.sink.streamed()
 	in, err := x.client.Answer(c, ask)
 	if err != nil {
@@ -128,7 +128,7 @@
 	case *messenger.AnswerEvent_Chunk:
 		return false, f.chunk(k.Chunk.Offset, k.Chunk.Text)
 	case *messenger.AnswerEvent_End:
-		return true, f.complete(answerOf(k.End))
+		return true, f.complete(fromAnswerEnd(k.End))
 	case *messenger.AnswerEvent_Problem:
 		p := k.Problem
 		return true, &Problem{
--- a/router/request.go
+++ b/router/request.go
@@ -158,7 +158,7 @@
 		return nil, &Problem{Status: http.StatusNotFound, Code: CodeUnknownService, Field: "path", Outcome: NotRun, Detail: "no plain service is named " + strconv.Quote(service)}
 	}
 	q.method, q.path, q.rawQuery = r.Method, path, r.URL.RawQuery
-	q.header = only(r.Header, requestHeaders)
+	q.header = filterHeader(r.Header, forwardedRequestHeaders)
 	q.worst = rattanhoist.Tokens(q.service.CallPrice)
 	return q, p.finish(r, q)
 }
@@ -269,6 +269,6 @@
 		}
 		q.priority = n
 	}
-	q.digest = digestOf(q)
+	q.digest = requestDigest(q)
 	return nil
 }
--- a/router/router.go
+++ b/router/router.go
@@ -61,30 +61,30 @@
 
 // Router is one router process.
 type Router struct {
-	settings *loader.Settings
-	self     loader.Process
-	log      *zap.Logger
-	life     *fsm.FSM
-	snapshot atomic.Pointer[configurer.Snapshot]
-	tracker  *tracker.Tracker
-	gossip   *gossiper
-	money    *treasurer.Treasurer
-	engines  *http.Client
+	settings     *loader.Settings
+	self         loader.Process
+	log          *zap.Logger
+	life         *fsm.FSM
+	snapshot     atomic.Pointer[configurer.Snapshot]
+	tracker      *tracker.Tracker
+	gossip       *gossiper
+	money        *treasurer.Treasurer
+	engineClient *http.Client
 	// KeeperConn is the connection to the zone's keeper.
 	keeperConn *grpc.ClientConn
 	decisions  decisionRecorder
 	// Pickers maps plug-in names to *picker.Picker instances.
 	pickers sync.Map
 	// Ledger is what this router has learned of endpoints, from ledgerBase on.
-	ledger     *picker.Ledger
-	ledgerBase time.Time
-	grants     atomic.Pointer[grants]
+	ledger          *picker.Ledger
+	ledgerBase      time.Time
+	candidateTables atomic.Pointer[candidateCache]
 	// Limiters maps service names to *limiter.
 	limiters sync.Map
 	server   *http.Server
 	dialer   *messenger.Dialer
 	peerRPC  *grpc.Server
-	homes    *homes
+	peers    *peerTable
 	records  records
 	joiner   *joiner.Joiner
 	claims   claimKeepers
@@ -104,21 +104,21 @@
 	now := time.Now()
 	r := &Router{
 		settings: s, self: self, log: log,
-		incarnation: rattanhoist.Incarnation(now.UnixNano()),
-		joiner:      joiner.New(joiner.Limits{Grace: retryGrace, Keep: s.Policy().KeepAnswer(), MaxBytes: maxKeptBytes}),
-		decisions:   recorder.New(recordedRequests),
-		tracker:     newTracker(s, self),
-		engines:     newEngines(),
-		ledgerBase:  now,
-		ledger:      picker.NewLedger(now),
-		life:        newLifeCycle(log),
+		incarnation:  rattanhoist.Incarnation(now.UnixNano()),
+		joiner:       joiner.New(joiner.Limits{Grace: abandonedRunGrace, Keep: s.Policy().KeepAnswer(), MaxBytes: maxKeptAnswerBytes}),
+		decisions:    recorder.New(recordedRequests),
+		tracker:      newTracker(s, self),
+		engineClient: newEngineClient(),
+		ledgerBase:   now,
+		ledger:       picker.NewLedger(now),
+		life:         newLifeCycle(log),
 	}
 	r.ledger.SetRouters(len(s.Processes(loader.KindRouter)))
 	closePeers, err := r.connect()
 	if err != nil {
 		return nil, nil, err
 	}
-	r.serveRPC()
+	r.registerRPC()
 	publishCounters()
 	r.handover, r.hurry = context.WithCancel(context.Background())
 	r.server = &http.Server{
@@ -151,11 +151,11 @@
 		return err
 	}
 	failed := make(chan error, 1)
-	go r.follow(background)
+	go r.followConfiguration(background)
 	go repeat(background, expireEvery, r.expire)
-	go repeat(background, tickEvery, r.joiner.Tick)
-	for _, x := range r.homes.zone {
-		go r.beat(background, x)
+	go repeat(background, runExpiryInterval, r.joiner.Tick)
+	for _, x := range r.peers.siblings {
+		go r.heartbeatLoop(background, x)
 	}
 	go r.watchKeeper(background)
 	go r.gossip.run(background)
--- a/router/run.go
+++ b/router/run.go
@@ -31,7 +31,7 @@
 var errStalled = errors.New("the stream has stalled")
 
 // runModel runs a request at a model engine, always as a stream.
-func (r *Router) runModel(ctx context.Context, q *request, e *rattanhoist.Endpoint, run *joiner.Run, d *sent) (*joiner.Answer, error) {
+func (r *Router) runModel(ctx context.Context, q *request, e *rattanhoist.Endpoint, run *joiner.Run, d *dispatchStats) (*joiner.Answer, error) {
 	body, err := engineBody(q)
 	if err != nil {
 		return nil, &runError{cause: err, final: true}
@@ -44,19 +44,19 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, refusedBy(resp, q)
+		return nil, statusError(resp, q)
 	}
 	s := joiner.Stream{ID: resp.Header.Get(headerStreamID), Endpoint: e.Name()}
 	if err := run.Begin(s); err != nil {
 		return nil, &runError{cause: err, dispatched: true, final: true}
 	}
 	if s.ID != "" {
-		r.tell(q, s)
+		r.queueRunRecord(q, s)
 	}
 	a := newAssembler(q, run)
-	a.begun = d.text
+	a.onText = d.recordText
 	err = readWatched(a, resp, q.deadline, cancel)
-	d.cached = a.usage.cachedTokens()
+	d.cachedTokens = a.usage.cachedTokens()
 	return r.finishModel(ctx, q, e, a, s, err)
 }
 
@@ -73,8 +73,8 @@
 // finishModel resumes a broken stream where the engine can. Bytes and digest
 // go on from where they were: it is the same run.
 func (r *Router) finishModel(ctx context.Context, q *request, e *rattanhoist.Endpoint, a *assembler, s joiner.Stream, err error) (*joiner.Answer, error) {
-	for try := 0; err != nil && try < maxResumes && ctx.Err() == nil && s.ID != "" && errors.Is(err, ErrFragment); try++ {
-		homeCounters.Add("streams_resumed", 1)
+	for try := 0; err != nil && try < maxResumes && ctx.Err() == nil && s.ID != "" && errors.Is(err, ErrIncomplete); try++ {
+		peerCounters.Add("streams_resumed", 1)
 		err = r.resume(ctx, q, e, a, s)
 	}
 	if err == nil {
@@ -95,7 +95,7 @@
 		return err
 	}
 	h.Header.Set(headerRequestID, q.key.String())
-	resp, err := r.engines.Do(h)
+	resp, err := r.engineClient.Do(h)
 	if err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 func readWatched(a *assembler, resp *http.Response, deadline time.Time, cancel context.CancelCauseFunc) error {
 	bound := func() time.Duration { return min(max(time.Until(deadline)/stallFraction, minStall), maxStall) }
 	var watch *time.Timer
-	a.progress = func() {
+	a.onEvent = func() {
 		if watch == nil {
 			watch = time.AfterFunc(bound(), func() { cancel(errStalled) })
 			return
@@ -140,7 +140,7 @@
 		if err != nil {
 			return
 		}
-		if resp, err := r.engines.Do(h); err == nil {
+		if resp, err := r.engineClient.Do(h); err == nil {
 			_ = resp.Body.Close()
 		}
 	}()
--- a/router/run_plain.go
+++ b/router/run_plain.go
@@ -16,7 +16,7 @@
 
 // runPlain runs a call at a plain service. Every status is an answer and is
 // passed on; 502, 503 and 504 of a repeatable call are tried elsewhere first.
-func (r *Router) runPlain(ctx context.Context, q *request, e *rattanhoist.Endpoint, run *joiner.Run, _ *sent) (*joiner.Answer, error) {
+func (r *Router) runPlain(ctx context.Context, q *request, e *rattanhoist.Endpoint, run *joiner.Run, _ *dispatchStats) (*joiner.Answer, error) {
 	resp, err := r.dispatch(ctx, q, e, q.body)
 	if err != nil {
 		return nil, err
@@ -29,7 +29,7 @@
 	sum := sha256.Sum256(body)
 	a := &joiner.Answer{
 		Endpoint: e.Name(), Length: int64(len(body)), Digest: hex.EncodeToString(sum[:]),
-		Status: resp.StatusCode, Header: only(resp.Header, answerHeaders),
+		Status: resp.StatusCode, Header: filterHeader(resp.Header, forwardedAnswerHeaders),
 	}
 	if q.method == http.MethodHead && resp.ContentLength >= 0 {
 		a.Header.Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
@@ -56,14 +56,14 @@
 // connection can't be told from a fragment, so it is refused.
 func (r *Router) plainBody(q *request, resp *http.Response) ([]byte, error) {
 	if id := resp.Header.Get(headerRequestID); id != "" && id != q.key.String() {
-		return nil, ErrCrossed
+		return nil, ErrWrongRequest
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && q.method != http.MethodHead {
-		return nil, merry.Wrap(ErrFragment, merry.AppendMessage("the answer has neither a length nor an end mark"))
+		return nil, merry.Wrap(ErrIncomplete, merry.AppendMessage("the answer has neither a length nor an end mark"))
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(nil, resp.Body, r.settings.Policy().MaxBody()))
 	if err != nil {
-		return nil, merry.Wrap(ErrFragment, merry.AppendMessage(err.Error()))
+		return nil, merry.Wrap(ErrIncomplete, merry.AppendMessage(err.Error()))
 	}
 	return body, nil
 }
--- a/router/serve.go
+++ b/router/serve.go
@@ -110,7 +110,7 @@
 		if run.Seen() || ctx.Err() != nil || !errors.As(err, &f) || f.final || f.dispatched && !q.repeatable {
 			return nil, err
 		}
-		if len(tried) < maxTries && !r.mayRetry(ctx, q) {
+		if len(tried) < maxTries && !r.allowRetry(ctx, q) {
 			return lastAnswer(run, err)
 		}
 	}
@@ -130,13 +130,13 @@
 	if err := run.Dispatch(); err != nil {
 		return nil, err
 	}
-	d := r.began(q, e)
+	d := r.beginDispatch(q, e)
 	f := r.runModel
 	if q.service.Kind == messenger.ServiceKind_SERVICE_KIND_PLAIN {
 		f = r.runPlain
 	}
 	a, err := r.runTraced(ctx, q, e, func(ctx context.Context) (*joiner.Answer, error) { return f(ctx, q, e, run, d) })
-	d.end(a, err)
+	d.finish(a, err)
 	var x *runError
 	if errors.As(err, &x) && !x.dispatched {
 		run.Undispatch()
--- a/router/settle.go
+++ b/router/settle.go
@@ -17,7 +17,7 @@
 	settleWait = 2 * time.Second
 	// triedMaxAge is the age of the last beat that ended in time from which
 	// the silence of a sibling may be this router's own.
-	triedMaxAge = 3 * beatEvery
+	triedMaxAge = 3 * heartbeatInterval
 	// viewPoll is how often a request looks whether the view is clear again.
 	viewPoll = 10 * time.Millisecond
 	// viewWait bounds that: a machine may be too busy for any beat in time.
@@ -28,33 +28,33 @@
 const notReached = math.MinInt64
 
 // now is the time since the start, in nanoseconds.
-func (h *homes) now() int64 { return int64(time.Since(h.start)) }
+func (h *peerTable) now() int64 { return int64(time.Since(h.start)) }
 
 // reached notes for how long a sibling has reached this router; 0 is not.
-func (h *homes) reached(x *sibling, forMS int64) {
+func (h *peerTable) reached(x *peer, forMS int64) {
 	if forMS <= 0 {
-		x.reachedBy.Store(notReached)
+		x.reachedSince.Store(notReached)
 		return
 	}
-	x.reachedBy.Store(h.now() - forMS*int64(time.Millisecond))
+	x.reachedSince.Store(h.now() - forMS*int64(time.Millisecond))
 }
 
 // reachedForMS returns how long this router has reached an incarnation of a
 // sibling without a break, in milliseconds, at least 1; 0 where it does not. A
 // killed router seems alive for a second, in which its successor may be there:
 // what is open towards the one says nothing of the other.
-func (h *homes) reachedForMS(x *sibling, incarnation uint64) int64 {
-	if l := x.life.Load(); l.Err() == nil && l.incarnation == incarnation && h.alive(x) {
-		return 1 + (h.now()-l.began)/int64(time.Millisecond)
+func (h *peerTable) reachedForMS(x *peer, incarnation uint64) int64 {
+	if l := x.session.Load(); l.Err() == nil && l.incarnation == incarnation && h.isAlive(x) {
+		return 1 + (h.now()-l.startedAt)/int64(time.Millisecond)
 	}
 	return 0
 }
 
 // agreed reports whether this router and a sibling take each other for alive,
 // and since when, in nanoseconds after the start.
-func (h *homes) agreed(x *sibling) (since int64, ok bool) {
-	l, by := x.life.Load(), x.reachedBy.Load()
-	return max(l.began, by), l.Err() == nil && by != notReached
+func (h *peerTable) agreed(x *peer) (since int64, ok bool) {
+	l, by := x.session.Load(), x.reachedSince.Load()
+	return max(l.startedAt, by), l.Err() == nil && by != notReached
 }
 
 // settled reports whether the siblings of the zone know that this router is
@@ -62,11 +62,11 @@
 // every request, and so does a sibling that has not noticed it yet: a request
 // that is sent through both runs twice. What is not reached for settleWait is
 // taken for dead.
-func (h *homes) settled() bool {
+func (h *peerTable) settled() bool {
 	if h.hasSettled.Load() {
 		return true
 	}
-	for _, x := range h.zone {
+	for _, x := range h.siblings {
 		if _, ok := h.agreed(x); !ok && h.now() < int64(settleWait) {
 			return false
 		}
@@ -77,8 +77,8 @@
 
 // known counts the siblings of the zone with which this router agrees; the rest
 // were taken for dead.
-func (h *homes) known() (n int) {
-	for _, x := range h.zone {
+func (h *peerTable) known() (n int) {
+	for _, x := range h.siblings {
 		if _, ok := h.agreed(x); ok {
 			n++
 		}
@@ -89,17 +89,17 @@
 // unclear reports whether a sibling seems silent while no beat to it ended in
 // time of late: then it may be this router that did not run, and the sibling
 // lives and is home to its requests.
-func (h *homes) unclear(x *sibling) bool {
-	return !h.alive(x) && h.now()-x.tried.Load() > int64(triedMaxAge)
+func (h *peerTable) unclear(x *peer) bool {
+	return !h.isAlive(x) && h.now()-x.lastAttempt.Load() > int64(triedMaxAge)
 }
 
 // await waits until the view of the zone is clear: for a beat or two after
 // this router was stopped.
-func (h *homes) await(ctx context.Context) {
+func (h *peerTable) await(ctx context.Context) {
 	end := h.now() + int64(viewWait)
-	for _, x := range h.zone {
+	for _, x := range h.siblings {
 		for h.unclear(x) && ctx.Err() == nil && h.now() < end {
-			homeCounters.Add("views_awaited", 1)
+			peerCounters.Add("views_awaited", 1)
 			time.Sleep(viewPoll)
 		}
 	}
@@ -108,8 +108,8 @@
 // before returns the live sibling that was home to this router's requests
 // while the two did not take each other for alive, where that is so little ago
 // that it may still have a run or an answer.
-func (h *homes) before(q *request, window time.Duration) *sibling {
-	x := h.best(q.key, nil)
+func (h *peerTable) before(q *request, window time.Duration) *peer {
+	x := h.bestSibling(q.key, nil)
 	if x == nil {
 		return nil
 	}
@@ -131,15 +131,15 @@
 		return nil, errNothingToTakeOver
 	}
 	p := r.settings.Policy()
-	x := r.homes.before(q, p.MaxTimeout()+p.KeepAnswer())
+	x := r.peers.before(q, p.MaxTimeout()+p.KeepAnswer())
 	if x == nil {
 		return nil, errNothingToTakeOver
 	}
-	homeCounters.Add("siblings_asked", 1)
+	peerCounters.Add("siblings_asked", 1)
 	a, err := r.joinAt(ctx, q, run, x)
 	if s := run.Stream(); err != nil && s.ID != "" {
 		// It was lost with the run half-way: what was passed on goes on.
-		return r.resumeElsewhere(ctx, q, run, s)
+		return r.resumeFromPeer(ctx, q, run, s)
 	}
 	return a, err
 }
@@ -149,15 +149,15 @@
 // shows that it lives: it may hold a claim, and right after a start no beat of
 // it has been answered yet.
 type watch struct {
-	homes   *homes
-	sibling *sibling
+	homes   *peerTable
+	sibling *peer
 	cancel  context.CancelFunc
 	stop    func() bool
 }
 
 func (w *watch) begin() {
 	if w.inZone() {
-		w.stop = context.AfterFunc(w.sibling.life.Load(), w.cancel)
+		w.stop = context.AfterFunc(w.sibling.session.Load(), w.cancel)
 	}
 }
 
@@ -167,7 +167,7 @@
 // heard takes a message of the sibling for a sign of life.
 func (w *watch) heard() {
 	if w.stop == nil && w.inZone() {
-		w.homes.revive(w.sibling)
+		w.homes.markAlive(w.sibling)
 		w.begin()
 	}
 }
@@ -179,12 +179,12 @@
 }
 
 // ready reports whether the router may begin runs.
-func (r *Router) ready() bool { return r.snapshot.Load() != nil && r.homes.settled() }
+func (r *Router) ready() bool { return r.snapshot.Load() != nil && r.peers.settled() }
 
 // becomeReady says so once.
 func (r *Router) becomeReady() {
 	if r.life.Is(stateStarting) && r.ready() {
-		r.log.Info("runs may begin", zap.Int("siblings", len(r.homes.zone)), zap.Int("known", r.homes.known()))
+		r.log.Info("runs may begin", zap.Int("siblings", len(r.peers.siblings)), zap.Int("known", r.peers.known()))
 		_ = r.life.Event(context.Background(), eventReady)
 	}
 }
--- a/router/settle_test.go
+++ b/router/settle_test.go
@@ -16,16 +16,16 @@
 )
 
 // newPair returns a router with one sibling in its zone, at an address.
-func newPair(t *testing.T, address string) (*Router, *sibling) {
+func newPair(t *testing.T, address string) (*Router, *peer) {
 	t.Helper()
 	r := newTestRouter(t, fmt.Sprintf("[router s]\nzone = a\nhttp = 127.0.0.1:4\nrpc = %s\n", address))
-	return r, r.homes.all["s"]
+	return r, r.peers.byName["s"]
 }
 
 // ago sets how long ago the sibling was heard and a beat ended in time.
-func (h *homes) ago(x *sibling, heard, tried time.Duration) {
-	x.heard.Store(h.now() - int64(heard))
-	x.tried.Store(h.now() - int64(tried))
+func (h *peerTable) ago(x *peer, heard, tried time.Duration) {
+	x.lastHeard.Store(h.now() - int64(heard))
+	x.lastAttempt.Store(h.now() - int64(tried))
 }
 
 // TestStartedRouterWaitsForItsSiblings
@@ -47,17 +47,17 @@
 	}
 	g.Expect(health()).To(gomega.Equal(http.StatusServiceUnavailable))
 	g.Expect(chat()).To(gomega.ContainSubstring(CodeNotReady))
-	r.homes.hear(x, &messenger.BeatReply{Incarnation: 7})
+	r.peers.recordReply(x, &messenger.BeatReply{Incarnation: 7})
 	g.Expect(health()).To(gomega.Equal(http.StatusServiceUnavailable), "the sibling does not know this router yet")
-	g.Expect(r.homes.known()).To(gomega.BeZero())
-	_, err := r.requestOf(&messenger.AnswerRequest{Digest: make([]byte, len(joiner.Digest{})), Workspace: "w", Service: "llm"})
+	g.Expect(r.peers.known()).To(gomega.BeZero())
+	_, err := r.fromAnswerRequest(&messenger.AnswerRequest{Digest: make([]byte, len(joiner.Digest{})), Workspace: "w", Service: "llm"})
 	g.Expect(problemOf(err).Code).To(gomega.Equal(CodeNotReady), "nor does it begin runs for others")
-	_, err = r.requestOf(&messenger.AnswerRequest{Digest: make([]byte, len(joiner.Digest{})), Workspace: "w", Service: "llm", JoinOnly: true})
+	_, err = r.fromAnswerRequest(&messenger.AnswerRequest{Digest: make([]byte, len(joiner.Digest{})), Workspace: "w", Service: "llm", JoinOnly: true})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	r.homes.hear(x, &messenger.BeatReply{Incarnation: 7, ReachedForMs: 1})
+	r.peers.recordReply(x, &messenger.BeatReply{Incarnation: 7, ReachedForMs: 1})
 	g.Expect(health()).To(gomega.Equal(http.StatusOK))
 	g.Expect(chat()).NotTo(gomega.ContainSubstring(CodeNotReady))
-	r.homes.hear(x, &messenger.BeatReply{Incarnation: 7})
+	r.peers.recordReply(x, &messenger.BeatReply{Incarnation: 7})
 	g.Expect(health()).To(gomega.Equal(http.StatusOK), "once ready it serves, whatever becomes of siblings")
 }
 
@@ -76,11 +76,11 @@
 		return reply.ReachedForMs
 	}
 	g.Expect(beat(7)).To(gomega.BeZero())
-	r.homes.hear(x, &messenger.BeatReply{Incarnation: 7})
+	r.peers.recordReply(x, &messenger.BeatReply{Incarnation: 7})
 	g.Expect(beat(7)).To(gomega.BeNumerically(">", 0))
 	g.Expect(beat(8)).To(gomega.BeZero())
-	old := x.life.Load()
-	r.homes.hear(x, &messenger.BeatReply{Incarnation: 8})
+	old := x.session.Load()
+	r.peers.recordReply(x, &messenger.BeatReply{Incarnation: 8})
 	g.Expect(beat(8)).To(gomega.BeNumerically(">", 0))
 	g.Expect(old.Err()).To(gomega.HaveOccurred(), "what waits for the old one ends")
 }
@@ -96,13 +96,13 @@
 	g := gomega.NewWithT(t)
 	r, x := newPair(t, "127.0.0.1:5")
 	ended := make(chan struct{})
-	w := watch{homes: r.homes, sibling: x, cancel: func() { close(ended) }}
+	w := watch{homes: r.peers, sibling: x, cancel: func() { close(ended) }}
 	w.heard()
-	l := x.life.Load()
-	r.homes.hear(x, &messenger.BeatReply{Incarnation: 7})
+	l := x.session.Load()
+	r.peers.recordReply(x, &messenger.BeatReply{Incarnation: 7})
 	g.Expect(l.Err()).NotTo(gomega.HaveOccurred())
-	g.Expect(r.homes.reachedForMS(x, 7)).To(gomega.BeNumerically(">", 0))
-	r.homes.hear(x, &messenger.BeatReply{Incarnation: 8})
+	g.Expect(r.peers.reachedForMS(x, 7)).To(gomega.BeNumerically(">", 0))
+	r.peers.recordReply(x, &messenger.BeatReply{Incarnation: 8})
 	g.Expect(l.Err()).To(gomega.HaveOccurred(), "another process answers")
 	g.Eventually(ended, 10*time.Second).Should(gomega.BeClosed())
 }
@@ -111,11 +111,11 @@
 func TestLostSiblingHoldsNoStartUp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, _ := newPair(t, "127.0.0.1:5")
-	r.homes.start = time.Now().Add(-settleWait / 2)
+	r.peers.start = time.Now().Add(-settleWait / 2)
 	g.Expect(r.ready()).To(gomega.BeFalse())
-	r.homes.start = time.Now().Add(-settleWait)
+	r.peers.start = time.Now().Add(-settleWait)
 	g.Expect(r.ready()).To(gomega.BeTrue())
-	g.Expect(r.homes.known()).To(gomega.BeZero(), "the log does not call a lost sibling known")
+	g.Expect(r.peers.known()).To(gomega.BeZero(), "the log does not call a lost sibling known")
 }
 
 // TestOwnPauseIsNoSilenceOfASibling
@@ -126,20 +126,20 @@
 func TestOwnPauseIsNoSilenceOfASibling(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, x := newPair(t, "127.0.0.1:5")
-	r.homes.hear(x, &messenger.BeatReply{Incarnation: 7})
-	r.homes.ago(x, 2*time.Second, 2*time.Second)
-	r.endSilent(x)
-	g.Expect(x.life.Load().Err()).NotTo(gomega.HaveOccurred(), "this router was silent itself")
+	r.peers.recordReply(x, &messenger.BeatReply{Incarnation: 7})
+	r.peers.ago(x, 2*time.Second, 2*time.Second)
+	r.endSilentSession(x)
+	g.Expect(x.session.Load().Err()).NotTo(gomega.HaveOccurred(), "this router was silent itself")
 	seen := make(chan struct{})
 	go func() {
-		r.homes.await(t.Context())
+		r.peers.await(t.Context())
 		close(seen)
 	}()
 	g.Consistently(seen, 5*viewPoll).ShouldNot(gomega.BeClosed())
-	r.homes.ago(x, 2*time.Second, 0)
+	r.peers.ago(x, 2*time.Second, 0)
 	g.Eventually(seen, 10*time.Second).Should(gomega.BeClosed())
-	r.endSilent(x)
-	g.Expect(x.life.Load().Err()).To(gomega.HaveOccurred(), "a beat was sent and not answered")
+	r.endSilentSession(x)
+	g.Expect(x.session.Load().Err()).To(gomega.HaveOccurred(), "a beat was sent and not answered")
 }
 
 // holder is a router that answers from a run of its own.
@@ -175,15 +175,15 @@
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(s.Stop)
 	r, x := newPair(t, l.Addr().String())
-	g.Expect(r.homes.alive(x)).To(gomega.BeFalse())
+	g.Expect(r.peers.isAlive(x)).To(gomega.BeFalse())
 	service, err := r.snapshot.Load().Service("portal")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	q := &request{key: rattanhoist.NewRequestKey("w", "t-1"), service: service, deadline: time.Now().Add(time.Minute)}
 	run, _, err := r.joiner.Arrive(time.Now(), joiner.Arrive{Key: q.key, Deadline: q.deadline, Pinned: true})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	row := &messenger.ClaimRow{State: messenger.ClaimState_CLAIM_STATE_GRANTED, Holder: &messenger.Holder{Router: "s"}, DeadlineMs: q.deadline.UnixMilli()}
-	a, err := r.heldElsewhere(t.Context(), q, run, 0, row)
+	a, err := r.resolveRefusedClaim(t.Context(), q, run, 0, row)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(a.Length).To(gomega.Equal(int64(6)))
-	g.Expect(r.homes.alive(x)).To(gomega.BeTrue(), "its answer is a sign of life")
+	g.Expect(r.peers.isAlive(x)).To(gomega.BeTrue(), "its answer is a sign of life")
 }
--- a/router/silent_endpoint_test.go
+++ b/router/silent_endpoint_test.go
@@ -46,11 +46,11 @@
 	defer cancel()
 	h, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+silentAddress(t)+"/", nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	resp, err := newEngines().Do(h)
+	resp, err := newEngineClient().Do(h)
 	if err == nil {
 		_ = resp.Body.Close()
 	}
 	g.Expect(err).To(gomega.HaveOccurred())
 	g.Expect(ctx.Err()).NotTo(gomega.HaveOccurred(), "the dial took all the time of the request")
-	g.Expect(neverSent(err)).To(gomega.BeTrue(), "another endpoint may be tried: %v", err)
+	g.Expect(dialFailed(err)).To(gomega.BeTrue(), "another endpoint may be tried: %v", err)
 }
--- a/router/slow_body_test.go
+++ b/router/slow_body_test.go
@@ -44,7 +44,7 @@
 			g.Expect(p.Status).To(gomega.Equal(http.StatusRequestTimeout))
 			g.Expect(p.Code).To(gomega.Equal(CodeTooSlow))
 			g.Expect(p.Outcome).To(gomega.Equal(c.want))
-			g.Eventually(r.gate.inside.Load).Should(gomega.BeZero())
+			g.Eventually(r.gate.active.Load).Should(gomega.BeZero())
 		})
 	}
 }
--- a/router/stream_test.go
+++ b/router/stream_test.go
@@ -56,27 +56,27 @@
 	}{
 		"marked, whole":                {[]string{first, second, markOf(ownID, whole), doneEvent}, nil},
 		"marked, connection lost late": {[]string{first, second, markOf(ownID, whole)}, nil},
-		"marked, short":                {[]string{first, markOf(ownID, whole), doneEvent}, ErrFragment},
-		"marked, without its mark":     {[]string{first, second, doneEvent}, ErrFragment},
-		"marked, cut":                  {[]string{first}, ErrFragment},
-		"marked, doubled piece":        {[]string{first, first, second, markOf(ownID, whole)}, ErrFragment},
-		"marked, lost piece":           {[]string{second, markOf(ownID, whole)}, ErrFragment},
-		"marked, wrong digest":         {[]string{first, second, markOf(ownID, "roof tile")}, ErrFragment},
-		"marked, text after the mark":  {[]string{first, second, markOf(ownID, whole), piece(ownID, 9, "x")}, ErrFragment},
-		"marked, crossed":              {[]string{piece(otherID, 0, "roof ")}, ErrCrossed},
-		"marked, crossed piece":        {[]string{first, piece(otherID, 5, "beam")}, ErrCrossed},
-		"marked, crossed mark":         {[]string{first, second, markOf(otherID, whole)}, ErrCrossed},
-		"marked, piece without offset": {[]string{first, plainPiece(ownID, "beam")}, ErrFragment},
-		"engine's error":               {[]string{first, `{"error":{"message":"out of memory"}}`}, ErrEngine},
-		"nothing":                      {nil, ErrFragment},
-		"not JSON":                     {[]string{"roof"}, ErrFragment},
+		"marked, short":                {[]string{first, markOf(ownID, whole), doneEvent}, ErrIncomplete},
+		"marked, without its mark":     {[]string{first, second, doneEvent}, ErrIncomplete},
+		"marked, cut":                  {[]string{first}, ErrIncomplete},
+		"marked, doubled piece":        {[]string{first, first, second, markOf(ownID, whole)}, ErrIncomplete},
+		"marked, lost piece":           {[]string{second, markOf(ownID, whole)}, ErrIncomplete},
+		"marked, wrong digest":         {[]string{first, second, markOf(ownID, "roof tile")}, ErrIncomplete},
+		"marked, text after the mark":  {[]string{first, second, markOf(ownID, whole), piece(ownID, 9, "x")}, ErrIncomplete},
+		"marked, crossed":              {[]string{piece(otherID, 0, "roof ")}, ErrWrongRequest},
+		"marked, crossed piece":        {[]string{first, piece(otherID, 5, "beam")}, ErrWrongRequest},
+		"marked, crossed mark":         {[]string{first, second, markOf(otherID, whole)}, ErrWrongRequest},
+		"marked, piece without offset": {[]string{first, plainPiece(ownID, "beam")}, ErrIncomplete},
+		"engine's error":               {[]string{first, `{"error":{"message":"out of memory"}}`}, ErrEngineFailed},
+		"nothing":                      {nil, ErrIncomplete},
+		"not JSON":                     {[]string{"roof"}, ErrIncomplete},
 		"ordinary, whole":              {[]string{plainPiece(chatID, whole), finish, tokens, doneEvent}, nil},
-		"ordinary, without usage":      {[]string{plainPiece(chatID, whole), finish, doneEvent}, ErrFragment},
-		"ordinary, without finish":     {[]string{plainPiece(chatID, whole), tokens, doneEvent}, ErrFragment},
-		"ordinary, without last event": {[]string{plainPiece(chatID, whole), finish, tokens}, ErrFragment},
-		"ordinary, crossed piece":      {[]string{plainPiece(chatID, "roof "), plainPiece(otherID, "beam"), finish, tokens, doneEvent}, ErrCrossed},
-		"ordinary, text after finish":  {[]string{finish, plainPiece(chatID, whole), tokens, doneEvent}, ErrFragment},
-		"ordinary, after the end":      {[]string{plainPiece(chatID, whole), finish, tokens, doneEvent, plainPiece(chatID, "x")}, ErrFragment},
+		"ordinary, without usage":      {[]string{plainPiece(chatID, whole), finish, doneEvent}, ErrIncomplete},
+		"ordinary, without finish":     {[]string{plainPiece(chatID, whole), tokens, doneEvent}, ErrIncomplete},
+		"ordinary, without last event": {[]string{plainPiece(chatID, whole), finish, tokens}, ErrIncomplete},
+		"ordinary, crossed piece":      {[]string{plainPiece(chatID, "roof "), plainPiece(otherID, "beam"), finish, tokens, doneEvent}, ErrWrongRequest},
+		"ordinary, text after finish":  {[]string{finish, plainPiece(chatID, whole), tokens, doneEvent}, ErrIncomplete},
+		"ordinary, after the end":      {[]string{plainPiece(chatID, whole), finish, tokens, doneEvent, plainPiece(chatID, "x")}, ErrIncomplete},
 		"two choices":                  {[]string{`{` + ownID + `,"offset":0,"choices":[{"index":1,"delta":{"content":"x"}}]}`}, ErrUnsupported},
 		"tool calls":                   {[]string{`{` + ownID + `,"offset":0,"choices":[{"index":0,"delta":{"tool_calls":[{"id":"x"}]}}]}`}, ErrUnsupported},
 	} {
@@ -113,11 +113,11 @@
 				if id == ownID {
 					event = piece(id, at, strings.Repeat("x", n))
 				}
-				return a.take(event)
+				return a.handleData(event)
 			}
 			g.Expect(send(0, most-1)).To(gomega.Succeed())
 			g.Expect(send(most-1, 1)).To(gomega.Succeed())
-			g.Expect(send(most, 1)).To(gomega.MatchError(ErrEngine))
+			g.Expect(send(most, 1)).To(gomega.MatchError(ErrEngineFailed))
 			g.Expect(run.Length()).To(gomega.Equal(int64(most)))
 		})
 	}
@@ -132,8 +132,8 @@
 	g := gomega.NewWithT(t)
 	a, _ := testAssembler()
 	text := strings.Repeat("\u00e9", 1<<17)
-	err := a.take(`{` + ownID + `,"error":"` + text + `"}`)
-	g.Expect(err).To(gomega.MatchError(ErrEngine))
+	err := a.handleData(`{` + ownID + `,"error":"` + text + `"}`)
+	g.Expect(err).To(gomega.MatchError(ErrEngineFailed))
 	g.Expect(len(err.Error())).To(gomega.BeNumerically("<", 2048))
 	g.Expect(utf8.ValidString(err.Error())).To(gomega.BeTrue())
 
@@ -194,7 +194,7 @@
 	f, r := start(true)
 	g.Expect(f.begin(one)).To(gomega.Succeed())
 	g.Expect(f.chunk(0, []byte("roof be"))).To(gomega.Succeed())
-	g.Expect(f.complete(&joiner.Answer{Length: 9})).To(gomega.MatchError(ErrFragment))
+	g.Expect(f.complete(&joiner.Answer{Length: 9})).To(gomega.MatchError(ErrIncomplete))
 	g.Expect(f.chunk(7, []byte("am"))).To(gomega.Succeed())
 	g.Expect(f.complete(&joiner.Answer{Length: 9})).To(gomega.Succeed())
 	g.Expect(r.text).To(gomega.Equal("roof beam"))
@@ -203,7 +203,7 @@
 	f, _ = start(true)
 	g.Expect(f.begin(joiner.Stream{})).To(gomega.MatchError(joiner.ErrPassed))
 	f, _ = start(true)
-	g.Expect(f.chunk(6, []byte("x"))).To(gomega.MatchError(ErrFragment))
+	g.Expect(f.chunk(6, []byte("x"))).To(gomega.MatchError(ErrIncomplete))
 	f, r = start(false)
 	g.Expect(f.begin(two)).To(gomega.Succeed())
 	g.Expect(f.chunk(0, []byte("tile"))).To(gomega.Succeed())
@@ -226,8 +226,8 @@
 	}
 	same := base()
 	same.header = map[string][]string{"Content-Type": {"z"}, "Accept": {"y", "x"}}
-	g.Expect(digestOf(same)).To(gomega.Equal(digestOf(base())))
-	seen := map[joiner.Digest]bool{digestOf(base()): true}
+	g.Expect(requestDigest(same)).To(gomega.Equal(requestDigest(base())))
+	seen := map[joiner.Digest]bool{requestDigest(base()): true}
 	for _, change := range []func(*request){
 		func(q *request) { q.service = &messenger.Service{Name: "desk2"} },
 		func(q *request) { q.method = "PUT" },
@@ -239,7 +239,7 @@
 	} {
 		q := base()
 		change(q)
-		g.Expect(seen[digestOf(q)]).To(gomega.BeFalse())
-		seen[digestOf(q)] = true
+		g.Expect(seen[requestDigest(q)]).To(gomega.BeFalse())
+		seen[requestDigest(q)] = true
 	}
 }
--- a/router/hops.go
+++ b/router/traced_steps.go
@@ -14,27 +14,29 @@
 	"rattanhoist.example/rattanhoist/treasurer"
 )
 
-// Each hop below is a step of serve with its span, its counters and its line
-// in the request's record.
-
+// admitTraced calls admit with a trace span and adds the decision to the
+// request's record. The functions below do the same for the other steps that
+// serve a request; some also update counters.
 func (r *Router) admitTraced(ctx context.Context, q *request) (func(), error) {
 	ctx, span := tracer.Begin(ctx, tracer.HopAdmit)
 	release, err := r.admit(ctx, q)
 	span.End(err)
 	if err == nil {
-		r.record(q, recorder.Decision{Kind: recorder.Admitted, Reason: "service " + q.service.Name + traceOf(ctx)})
+		r.record(q, recorder.Decision{Kind: recorder.Admitted, Reason: "service " + q.service.Name + traceSuffix(ctx)})
 	}
 	return release, err
 }
 
-// traceOf ties a record to its trace.
-func traceOf(ctx context.Context) string {
+// traceSuffix returns the text that links a decision record to the request's
+// trace.
+func traceSuffix(ctx context.Context) string {
 	if id := tracer.TraceID(ctx); id != "" {
 		return ", trace " + id
 	}
 	return ""
 }
 
+// reserveTraced reserves the largest charge that the request can cause.
 func (r *Router) reserveTraced(ctx context.Context, q *request) (treasurer.Reservation, error) {
 	began := time.Now()
 	ctx, span := tracer.Begin(ctx, tracer.HopReserve)
@@ -47,6 +49,8 @@
 	return held, err
 }
 
+// runTraced runs the request at an endpoint and records the dispatch and a
+// failure.
 func (r *Router) runTraced(ctx context.Context, q *request, e *rattanhoist.Endpoint, run func(context.Context) (*joiner.Answer, error)) (*joiner.Answer, error) {
 	ctx, span := tracer.Begin(ctx, tracer.HopDispatch)
 	span.Set("endpoint", e.Name())
@@ -59,6 +63,7 @@
 	return a, err
 }
 
+// billTraced charges the request and returns the charged tokens.
 func (r *Router) billTraced(ctx context.Context, q *request, held treasurer.Reservation, c *messenger.Charge) (rattanhoist.Tokens, error) {
 	began := time.Now()
 	ctx, span := tracer.Begin(ctx, tracer.HopBill)
@@ -71,12 +76,12 @@
 	return n, err
 }
 
-// relayTraced has the request's home answer it.
-func (r *Router) relayTraced(ctx context.Context, q *request, x *sibling, f *feed) error {
+// relayTraced relays the request to its home router.
+func (r *Router) relayTraced(ctx context.Context, q *request, x *peer, f *feed) error {
 	home := x.process.Name()
 	ctx, span := tracer.Begin(ctx, tracer.HopHome)
 	span.Set("home", home)
-	r.record(q, recorder.Decision{Kind: recorder.HandedOver, Reason: "home router " + home + traceOf(ctx)})
+	r.record(q, recorder.Decision{Kind: recorder.HandedOver, Reason: "home router " + home + traceSuffix(ctx)})
 	err := r.relay(ctx, q, x, f, false)
 	span.End(err)
 	if err != nil && askNext(err) {
@@ -85,19 +90,20 @@
 	return err
 }
 
+// verdictNames are the texts of claim verdicts in decision records.
 var verdictNames = map[claimer.Verdict]string{
 	claimer.Granted: "granted", claimer.Reused: "the id is another request's", claimer.Undecided: "too few keepers answered",
 }
 
-// claimTraced takes the claim of a request that may not be repeated.
+// claimTraced acquires the claim of a request that is not repeatable.
 func (r *Router) claimTraced(ctx context.Context, q *request, c *claim) (claimer.Verdict, *messenger.ClaimRow) {
 	ctx, span := tracer.Begin(ctx, tracer.HopClaim)
-	v, row := c.take(ctx)
+	v, row := c.acquire(ctx)
 	span.End(nil)
-	what, known := verdictNames[v]
+	reason, known := verdictNames[v]
 	if !known {
-		what = "held by another attempt"
+		reason = "held by another attempt"
 	}
-	r.record(q, recorder.Decision{Kind: recorder.Claimed, Reason: what + ", asked " + strconv.Itoa(len(c.voters)) + " keepers"})
+	r.record(q, recorder.Decision{Kind: recorder.Claimed, Reason: reason + ", asked " + strconv.Itoa(len(c.voters)) + " keepers"})
 	return v, row
 }
--- a/router/unread_test.go
+++ b/router/unread_test.go
@@ -24,6 +24,6 @@
 			{Name: "b", Kind: messenger.ServiceKind_SERVICE_KIND_MODEL, Models: []string{"n"}, NotRepeatable: notRepeatable},
 		}}))
 		q := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
-		g.Expect(r.maybeOnce(q)).To(gomega.Equal(notRepeatable))
+		g.Expect(r.mayBeNonRepeatable(q)).To(gomega.Equal(notRepeatable))
 	}
 }
