--- a/router/admit.go
+++ b/router/admit.go
@@ -134,7 +134,7 @@
 	default:
 	}
 	admitCounters.Add("abandoned", 1)
-	return &Problem{Status: http.StatusGatewayTimeout, Code: CodeDeadline, Outcome: NotRun, Detail: "ended while it waited: " + cause.Error(), After: retrySoon}
+	return &Problem{Status: http.StatusGatewayTimeout, Code: CodeDeadline, Outcome: NotRun, Detail: "ended while it waited: " + cause.Error(), After: defaultRetryAfter}
 }
 
 // release frees the slot of a request that has ended and lets waiting requests
--- a/router/admit_test.go
+++ b/router/admit_test.go
@@ -94,9 +94,9 @@
 		g.Expect(l.tryAdmit(set, time.Now(), true)).To(gomega.BeTrue())
 		began := time.Now()
 		err := l.awaitVerdict(context.Background(), waitingRequest("w", 1, 10*time.Second), set, picker.Estimate{Service: 4 * time.Second, Least: 3 * time.Second})
-		g.Expect(problemOf(err).Code).To(gomega.Equal(CodeOverloaded))
-		g.Expect(problemOf(err).Outcome).To(gomega.Equal(NotRun))
-		g.Expect(problemOf(err).After).To(gomega.BeNumerically(">", 0))
+		g.Expect(problemFromError(err).Code).To(gomega.Equal(CodeOverloaded))
+		g.Expect(problemFromError(err).Outcome).To(gomega.Equal(NotRun))
+		g.Expect(problemFromError(err).After).To(gomega.BeNumerically(">", 0))
 		g.Expect(time.Since(began)).To(gomega.BeNumerically("~", 7*time.Second, 2*admissionPollInterval))
 	})
 }
--- a/router/announce.go
+++ b/router/announce.go
@@ -83,6 +83,6 @@
 		p.Status, p.Code = http.StatusConflict, CodeAddressTaken
 		return p
 	default:
-		return &Problem{Status: http.StatusServiceUnavailable, Code: CodeTooManyEndpoints, Outcome: NotRun, Detail: err.Error(), After: retrySoon}
+		return &Problem{Status: http.StatusServiceUnavailable, Code: CodeTooManyEndpoints, Outcome: NotRun, Detail: err.Error(), After: defaultRetryAfter}
 	}
 }
--- a/router/answer_message.go
+++ b/router/answer_message.go
@@ -15,18 +15,18 @@
 	return &messenger.AnswerRequest{
 		Workspace: q.key.Workspace(), RequestId: q.key.RequestID(), Digest: q.digest[:],
 		Service: q.service.Name, Method: q.method, Path: q.path, Query: q.rawQuery,
-		Headers: toHeaderFields(q.header), Body: q.body, MaxAnswerTokens: q.maxAnswer, WorstTokens: int64(q.worst),
-		Repeatable: q.repeatable, Priority: int32(q.priority), Prefix: q.prefix,
+		Headers: toHeaderFields(q.header), Body: q.body, MaxAnswerTokens: q.maxAnswer, WorstTokens: int64(q.maxCharge),
+		Repeatable: q.repeatable, Priority: int32(q.priority), Prefix: q.prefixHash,
 		TimeoutMs: (time.Until(q.deadline) - deadlineMargin).Milliseconds(),
-		JoinOnly:  joinOnly, OwnId: q.ownID, TicketZone: q.ticket.zone, TicketStore: q.ticket.store,
-		StreamId: q.resume.ID, Endpoint: q.resume.Endpoint, Again: q.again,
+		JoinOnly:  joinOnly, OwnId: q.generatedID, TicketZone: q.ticket.zone, TicketStore: q.ticket.store,
+		StreamId: q.resume.ID, Endpoint: q.resume.Endpoint, Again: q.rerouted,
 	}
 }
 
 // fromAnswerRequest decodes a request from another router and resolves its
 // service and workspace in this router's configuration.
 func (r *Router) fromAnswerRequest(a *messenger.AnswerRequest) (*request, error) {
-	notReady := &Problem{Status: http.StatusServiceUnavailable, Code: CodeNotReady, Outcome: NotRun, Detail: "the home router does not know the configuration or its zone's routers yet", After: retrySoon}
+	notReady := &Problem{Status: http.StatusServiceUnavailable, Code: CodeNotReady, Outcome: NotRun, Detail: "the home router does not know the configuration or its zone's routers yet", After: defaultRetryAfter}
 	s := r.snapshot.Load()
 	if s == nil || !a.JoinOnly && !r.peers.settled() || len(a.Digest) != len(joiner.Digest{}) {
 		return nil, notReady
@@ -42,11 +42,11 @@
 	return &request{
 		key: rattanhoist.NewRequestKey(a.Workspace, a.RequestId), workspace: workspace, service: service,
 		digest: joiner.Digest(a.Digest), method: a.Method, path: a.Path, rawQuery: a.Query,
-		header: fromHeaderFields(a.Headers), body: a.Body, maxAnswer: a.MaxAnswerTokens, worst: rattanhoist.Tokens(a.WorstTokens),
-		streamed: a.Streamed, repeatable: a.Repeatable, priority: int(a.Priority), prefix: a.Prefix,
-		deadline: time.Now().Add(time.Duration(a.TimeoutMs) * time.Millisecond),
-		ownID:    a.OwnId, ticket: ticket{zone: a.TicketZone, store: a.TicketStore},
-		resume: joiner.Stream{ID: a.StreamId, Endpoint: a.Endpoint}, again: a.Again,
+		header: fromHeaderFields(a.Headers), body: a.Body, maxAnswer: a.MaxAnswerTokens, maxCharge: rattanhoist.Tokens(a.WorstTokens),
+		streamed: a.Streamed, repeatable: a.Repeatable, priority: int(a.Priority), prefixHash: a.Prefix,
+		deadline:    time.Now().Add(time.Duration(a.TimeoutMs) * time.Millisecond),
+		generatedID: a.OwnId, ticket: ticket{zone: a.TicketZone, store: a.TicketStore},
+		resume: joiner.Stream{ID: a.StreamId, Endpoint: a.Endpoint}, rerouted: a.Again,
 	}, nil
 }
 
--- a/router/bad_input_test.go
+++ b/router/bad_input_test.go
@@ -114,7 +114,7 @@
 	comparer.Golden(t, "bad_input.golden", got.String())
 	g := gomega.NewWithT(t)
 	g.Expect(r.tracker.Table().All()).To(gomega.BeEmpty())
-	g.Expect(r.money.Held()).To(gomega.BeZero())
+	g.Expect(r.treasurer.Held()).To(gomega.BeZero())
 }
 
 // send passes a request to the router's HTTP handler and returns the status,
--- a/router/slow_body_test.go
+++ b/router/body_timeout_test.go
@@ -11,15 +11,12 @@
 	"github.com/onsi/gomega"
 )
 
-// TestSlowBodyEndsAtTheDeadline
-// Symptom: a caller that gave its request 100 ms hears of a late body after
-// 30 s; one that sends a ticket again hears that the request did not run,
-// although an earlier sending may have.
-// Sequence: a caller sends the head of a request and a part of its body, and
-// keeps the connection open.
-// Cause: the bound of bodies did not look at the request's timeout, and its
-// refusal not at the ticket.
-func TestSlowBodyEndsAtTheDeadline(t *testing.T) {
+// TestSlowBodyEndsAtDeadline sends the header and a part of the body of a
+// request and keeps the connection open. The body timeout ignored the request's
+// own timeout, so a caller that set 100 ms got the refusal after 30 s. The
+// refusal ignored the ticket, so a caller that sent a ticket again was told
+// that the request did not run, although an earlier attempt may have.
+func TestSlowBodyEndsAtDeadline(t *testing.T) {
 	for _, c := range []struct {
 		path, header string
 		want         Outcome
--- a/router/slow_test.go
+++ b/router/caller_timeouts_test.go
@@ -29,15 +29,15 @@
 	return c
 }
 
-// Symptom: a router does not end its shutdown. Sequence: a caller announces a
-// body and never sends the rest. Cause: a body that is read without a bound.
+// TestSlowBodyIsCutOff has a caller announce a body and never send the rest.
+// Without a limit on the time for the body, the router's shutdown did not end.
 func TestSlowBodyIsCutOff(t *testing.T) {
 	g := gomega.NewWithT(t)
 	failed := make(chan error, 1)
-	c := serveRaw(t, boundBody(50*time.Millisecond)(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	c := serveRaw(t, limitBodyTime(50*time.Millisecond)(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		_, err := parser{maxBody: 100}.readBody(q)
 		failed <- err
-		problemOf(err).write(w)
+		problemFromError(err).write(w)
 	})))
 	_, err := fmt.Fprint(c, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -50,11 +50,11 @@
 	g.Expect(string(answer)).To(gomega.HavePrefix("HTTP/1.1 408 "))
 }
 
-// Symptom: an answer that takes long is broken off. Sequence: the body comes
-// in time, the answer after the body's bound. Cause: a bound that stays set.
-func TestBodyBoundEndsWithTheBody(t *testing.T) {
+// TestBodyTimeoutEndsWithBody sends the body in time and answers after the body
+// timeout. If the read deadline stays set, a slow answer is broken off.
+func TestBodyTimeoutEndsWithBody(t *testing.T) {
 	g := gomega.NewWithT(t)
-	c := serveRaw(t, boundBody(50*time.Millisecond)(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	c := serveRaw(t, limitBodyTime(50*time.Millisecond)(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		_, err := io.ReadAll(q.Body)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		select {
@@ -71,13 +71,14 @@
 	g.Expect(string(answer)).To(gomega.HavePrefix("HTTP/1.1 204 "))
 }
 
-// Symptom: a router does not end its shutdown. Sequence: a caller asks for a
-// long answer and reads nothing. Cause: writes without a bound.
+// TestCallerThatDoesNotReadIsCutOff has a caller request a long answer and read
+// nothing. Without a limit on the time for writes, the router's shutdown did
+// not end.
 func TestCallerThatDoesNotReadIsCutOff(t *testing.T) {
 	g := gomega.NewWithT(t)
 	failed := make(chan error, 1)
 	c := serveRaw(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		boundWrite(w, time.Now().Add(50*time.Millisecond-writeGrace))
+		limitWriteTime(w, time.Now().Add(50*time.Millisecond-writeGrace))
 		piece := make([]byte, 1<<20)
 		for {
 			if _, err := w.Write(piece); err != nil {
--- a/router/choose.go
+++ b/router/choose.go
@@ -50,7 +50,7 @@
 // pickerQuery describes the request to the picker.
 func (q *request) pickerQuery(now time.Time) picker.Query {
 	return picker.Query{
-		Now: now, Deadline: q.deadline, Prefix: q.prefix, PromptTokens: int64(len(q.body)) / bytesPerPromptToken,
+		Now: now, Deadline: q.deadline, Prefix: q.prefixHash, PromptTokens: int64(len(q.body)) / bytesPerPromptToken,
 		MaxAnswer: q.maxAnswer, NotRepeatable: !q.repeatable, Seed: rand.Uint64(),
 	}
 }
@@ -74,7 +74,7 @@
 		kind = recorder.Retried
 	}
 	c := set.At(i)
-	r.record(q, recorder.Decision{
+	r.recordDecision(q, recorder.Decision{
 		Kind: kind, Endpoint: c.Endpoint().Name(), Candidates: set.Len(),
 		Reason: pickReason(r.pickerName(q.service.Picker), c),
 	})
--- a/router/claim.go
+++ b/router/claim.go
@@ -88,7 +88,7 @@
 	replies := make(chan vote, len(c.voters))
 	for i, k := range c.voters {
 		go func() {
-			reply, err := resend(ctx, func(ctx context.Context) (*messenger.ClaimReply, error) { return k.Claim(ctx, claimRequest) })
+			reply, err := callWithRetries(ctx, func(ctx context.Context) (*messenger.ClaimReply, error) { return k.Claim(ctx, claimRequest) })
 			if err != nil {
 				reply = nil
 			}
@@ -116,7 +116,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 			defer cancel()
-			_, _ = resend(ctx, func(ctx context.Context) (*messenger.SettleReply, error) { return k.Settle(ctx, end) })
+			_, _ = callWithRetries(ctx, func(ctx context.Context) (*messenger.SettleReply, error) { return k.Settle(ctx, end) })
 		}()
 	}
 }
@@ -130,7 +130,7 @@
 		return r.resolveRefusedClaim(ctx, q, run, v, row)
 	}
 	run.Prove()
-	a, err := r.serve(ctx, q, run)
+	a, err := r.serveRequest(ctx, q, run)
 	stopped, _ := run.Stop()
 	switch {
 	case err == nil:
@@ -150,10 +150,10 @@
 		return nil, joiner.ErrReused
 	}
 	if v == claimer.Undecided {
-		return nil, &Problem{Status: http.StatusServiceUnavailable, Code: CodeUndecided, Outcome: Unknown, Detail: "too few keepers answer to claim a request that may not be repeated", After: retrySoon}
+		return nil, &Problem{Status: http.StatusServiceUnavailable, Code: CodeUndecided, Outcome: Unknown, Detail: "too few keepers answer to claim a request that may not be repeated", After: defaultRetryAfter}
 	}
 	if x := r.peers.byName[row.GetHolder().GetRouter()]; x != nil {
-		if a, err := r.joinAt(ctx, q, run, x); err == nil {
+		if a, err := r.joinRunAt(ctx, q, run, x); err == nil {
 			return a, nil
 		}
 	}
@@ -168,7 +168,7 @@
 	case row.State == messenger.ClaimState_CLAIM_STATE_DONE:
 		return &Problem{Status: http.StatusConflict, Code: CodeAnswerGone, Outcome: Ran, Detail: "the request ran once; its answer, with SHA-256 " + hex.EncodeToString(row.AnswerDigest) + ", is not kept where it can be reached"}
 	case running:
-		return &Problem{Status: http.StatusConflict, Code: CodeRunning, Outcome: Unknown, Detail: "another attempt of the request holds its claim", After: retrySoon}
+		return &Problem{Status: http.StatusConflict, Code: CodeRunning, Outcome: Unknown, Detail: "another attempt of the request holds its claim", After: defaultRetryAfter}
 	}
 	return &Problem{Status: http.StatusConflict, Code: CodeOutcomeUnknown, Outcome: Unknown, Detail: "an attempt of the request may have run and can't be asked; it will not be run again"}
 }
--- a/router/config_follower.go
+++ b/router/config_follower.go
@@ -289,7 +289,7 @@
 // ownKeeperBack reports whether the keeper of the own zone can be followed
 // again. Without this check, a single failure of that keeper would burden the
 // others permanently, and a partition of any zone would affect routers that
-// followConfiguration a keeper on the far side.
+// follow a keeper on the far side.
 func (f *configFollower) ownKeeperBack(ctx context.Context, s keeperSource) bool {
 	own := f.sources[0]
 	if s.own || !own.own || !f.published || time.Since(f.ownCheckedAt) < ownKeeperCheckInterval {
--- a/router/connect.go
+++ b/router/connect.go
@@ -21,7 +21,7 @@
 	}
 	opened.add(func() { _ = r.keeperConn.Close() })
 	var closeOne func()
-	if r.money, closeOne, err = newTreasurer(s, r.self, r.dialer, r.keeperConn, r.log); err != nil {
+	if r.treasurer, closeOne, err = newTreasurer(s, r.self, r.dialer, r.keeperConn, r.log); err != nil {
 		opened.run()
 		return nil, err
 	}
@@ -72,8 +72,8 @@
 func newEngineClient() *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			MaxIdleConnsPerHost: idlePerEndpoint, IdleConnTimeout: idleConnTimeout, DisableCompression: true,
-			DialContext: dialLooking(&net.Dialer{Timeout: dialTimeout}),
+			MaxIdleConnsPerHost: maxIdleConnsPerEndpoint, IdleConnTimeout: idleConnTimeout, DisableCompression: true,
+			DialContext: dialChecked(&net.Dialer{Timeout: dialTimeout}),
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error {
 			return http.ErrUseLastResponse
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -38,8 +38,8 @@
 		// body. On a new connection it has no reason to.
 		h.Close = true
 	}
-	look := &lastLook{usable: func() bool { return r.tracker.Usable(e, time.Now()) }}
-	resp, err := r.engineClient.Do(h.WithContext(look.arm(ctx)))
+	look := &dispatchCheck{usable: func() bool { return r.tracker.Usable(e, time.Now()) }}
+	resp, err := r.engineClient.Do(h.WithContext(look.attach(ctx)))
 	if err != nil && look.refused.Load() {
 		return nil, &runError{cause: rattanhoist.ErrNoEndpoint}
 	}
@@ -55,8 +55,8 @@
 // it counts as dispatched.
 func statusError(resp *http.Response, q *request) error {
 	cause := &Problem{
-		Status: http.StatusBadGateway, Code: CodeEndpointFailed, Outcome: Unknown, After: retrySoon,
-		Detail: "the endpoint answered " + clip(resp.Status),
+		Status: http.StatusBadGateway, Code: CodeEndpointFailed, Outcome: Unknown, After: defaultRetryAfter,
+		Detail: "the endpoint answered " + truncateReason(resp.Status),
 	}
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
--- a/router/last_look_test.go
+++ b/router/dispatch_check_test.go
@@ -12,10 +12,10 @@
 	"github.com/onsi/gomega"
 )
 
-// TestLastLookKeepsARequestBack: an endpoint that had left 15 s before got a
-// request. The router was stopped after it had looked at the age and before
-// it wrote; it was continued and wrote.
-func TestLastLookKeepsARequestBack(t *testing.T) {
+// TestUnusableEndpointGetsNoRequest guards against a request to an endpoint
+// that left 15 s before. The router was suspended after it had checked the age
+// of the announcement and before it wrote the request; once resumed, it wrote.
+func TestUnusableEndpointGetsNoRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var begun atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -23,10 +23,10 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 	}))
 	defer s.Close()
-	client := &http.Client{Transport: &http.Transport{DialContext: dialLooking(&net.Dialer{})}}
+	client := &http.Client{Transport: &http.Transport{DialContext: dialChecked(&net.Dialer{})}}
 	do := func(method string, size int, usable func() bool) (bool, error) {
-		l := &lastLook{usable: usable}
-		q, err := http.NewRequestWithContext(l.arm(t.Context()), method, s.URL, strings.NewReader(strings.Repeat("x", size)))
+		l := &dispatchCheck{usable: usable}
+		q, err := http.NewRequestWithContext(l.attach(t.Context()), method, s.URL, strings.NewReader(strings.Repeat("x", size)))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		q.GetBody = nil
 		resp, err := client.Do(q)
--- a/router/engine_stream.go
+++ b/router/engine_stream.go
@@ -17,7 +17,7 @@
 // Errors in the answer of an endpoint. Compare with errors.Is.
 var (
 	// ErrIncomplete is returned for an answer that ends before its completion
-	// verifyMark or does not match it.
+	// mark or does not match it.
 	ErrIncomplete = merry.Sentinel("the endpoint's answer is not whole")
 	// ErrWrongRequest is returned for an answer that belongs to another
 	// request.
@@ -26,7 +26,7 @@
 	// or refuses to resume a stream.
 	ErrEndpointStatus = merry.Sentinel("the endpoint refused")
 	// ErrEngineFailed is returned if the engine reports an error, or sends more
-	// appendText than the request allows.
+	// text than the request allows.
 	ErrEngineFailed = merry.Sentinel("the engine failed")
 	// ErrUnsupported is returned for an answer with content that the router
 	// can't pass on.
@@ -135,7 +135,7 @@
 		return merry.Wrap(ErrIncomplete, merry.AppendMessage(err.Error()))
 	}
 	if !isEmptyJSON(e.Error) {
-		return merry.Wrap(ErrEngineFailed, merry.AppendMessage(clip(string(e.Error))))
+		return merry.Wrap(ErrEngineFailed, merry.AppendMessage(truncateReason(string(e.Error))))
 	}
 	if err := a.checkIdentity(&e); err != nil {
 		return err
--- a/router/execute.go
+++ b/router/execute.go
@@ -30,7 +30,7 @@
 // answerLocally joins or starts the run of a request at this router and passes
 // its answer to the feed. With joinOnly it starts nothing.
 func (r *Router) answerLocally(ctx context.Context, q *request, f *feed, joinOnly bool) error {
-	rec, known := r.records.get(q.key, time.Now())
+	rec, known := r.runRecords.get(q.key, time.Now())
 	if known && rec.digest != q.digest {
 		return joiner.ErrReused
 	}
@@ -41,7 +41,7 @@
 		run, begun, err = r.joiner.Arrive(time.Now(), joiner.Arrive{
 			Key: q.key, Digest: q.digest, Deadline: q.deadline,
 			Pinned: !q.repeatable, JoinOnly: joinOnly,
-			First: (q.ownID || q.repeatable) && !q.again && !known,
+			First: (q.generatedID || q.repeatable) && !q.rerouted && !known,
 		})
 		if err != nil {
 			return err
@@ -52,7 +52,7 @@
 			return joiner.ErrAbsent
 		}
 		if !begun {
-			r.record(q, recorder.Decision{Kind: recorder.Joined, Reason: "the request runs here, or its answer is kept"})
+			r.recordDecision(q, recorder.Decision{Kind: recorder.Joined, Reason: "the request runs here, or its answer is kept"})
 		}
 		if begun {
 			r.gate.add()
@@ -79,7 +79,7 @@
 	if !errors.Is(err, context.DeadlineExceeded) || ctx.Err() == nil {
 		return err
 	}
-	p := problemOf(context.DeadlineExceeded)
+	p := problemFromError(context.DeadlineExceeded)
 	if !f.begun() && r.joiner.Stop(q.key, run) {
 		p.Outcome = NotRun
 	}
@@ -112,7 +112,7 @@
 // dispatched.
 func withProvenOutcome(run *joiner.Run, err error) error {
 	_, proven := run.Stop()
-	p := *problemOf(err)
+	p := *problemFromError(err)
 	switch {
 	case p.Code == CodeIDReused || p.Outcome == Ran:
 	case proven:
@@ -135,7 +135,7 @@
 	if a, err := r.takeOver(ctx, q, run); err == nil {
 		return a, nil
 	}
-	if a, err := r.joinBefore(ctx, q, run); err == nil {
+	if a, err := r.joinPreviousHome(ctx, q, run); err == nil {
 		return a, nil
 	}
 	if err := ctx.Err(); err != nil {
@@ -143,7 +143,7 @@
 	}
 	r.queueRunRecord(q, joiner.Stream{})
 	if q.repeatable {
-		return r.serve(ctx, q, run)
+		return r.serveRequest(ctx, q, run)
 	}
 	return r.serveAtMostOnce(ctx, q, run)
 }
@@ -153,10 +153,10 @@
 // takeOver joins the run of the sibling that was the request's home before, or
 // resumes its stream at the engine if the sibling is lost.
 func (r *Router) takeOver(ctx context.Context, q *request, run *joiner.Run) (*joiner.Answer, error) {
-	rec, ok := r.records.get(q.key, time.Now())
+	rec, ok := r.runRecords.get(q.key, time.Now())
 	if x := r.peers.byName[rec.owner]; ok && x != nil && r.peers.isAlive(x) {
 		peerCounters.Add("runs_joined_at_sibling", 1)
-		if a, err := r.joinAt(ctx, q, run, x); err == nil {
+		if a, err := r.joinRunAt(ctx, q, run, x); err == nil {
 			return a, nil
 		}
 	}
@@ -181,5 +181,5 @@
 		return nil, err
 	}
 	peerCounters.Add("streams_resumed", 1)
-	return r.paid(ctx, q, func() (*joiner.Answer, error) { return r.resumeModel(ctx, q, e, run, s) })
+	return r.withBilling(ctx, q, func() (*joiner.Answer, error) { return r.resumeModel(ctx, q, e, run, s) })
 }
--- a/router/gossip.go
+++ b/router/gossip.go
@@ -25,7 +25,7 @@
 	// router pulls from the other zones in its place.
 	siblingTimeout = 2 * time.Second
 	// relayTimeout is how long a sibling may stay silent before the other
-	// perRound are asked for the news that it relays. A shorter time costs some
+	// siblings are asked for the news that it relays. A shorter time costs some
 	// bytes; a longer one lets endpoint ages grow.
 	relayTimeout = time.Second
 )
--- a/router/handler.go
+++ b/router/handler.go
@@ -19,11 +19,11 @@
 // handler returns the HTTP handler for callers and endpoints.
 func (r *Router) handler() http.Handler {
 	m := http.NewServeMux()
-	callers := alice.New(tracer.Middleware, r.recoverPanic, r.requireReady, boundBody(bodyTimeout))
+	callers := alice.New(tracer.Middleware, r.recoverPanic, r.requireReady, limitBodyTime(bodyTimeout))
 	m.Handle("POST /v1/chat/completions", callers.ThenFunc(r.handleChat))
 	m.Handle("POST /v1/tickets", callers.ThenFunc(r.issueTicket))
 	m.Handle("/v1/services/{service}/{path...}", callers.ThenFunc(r.handlePlain))
-	m.Handle("POST /v1/endpoints", alice.New(r.recoverPanic, r.requireEndpointKey, boundBody(bodyTimeout)).ThenFunc(r.handleAnnounce))
+	m.Handle("POST /v1/endpoints", alice.New(r.recoverPanic, r.requireEndpointKey, limitBodyTime(bodyTimeout)).ThenFunc(r.handleAnnounce))
 	m.HandleFunc("GET /healthz", r.handleHealth)
 	m.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("alive\n")) })
 	return m
@@ -57,7 +57,7 @@
 		activeRequests.Add(1)
 		defer activeRequests.Add(-1)
 		if !r.ready() {
-			r.refuseUnparsed(&Problem{Status: http.StatusServiceUnavailable, Code: CodeNotReady, Outcome: NotRun, Detail: "this router does not know the configuration or its zone's routers yet", After: retrySoon}, w, q)
+			r.refuseUnparsed(&Problem{Status: http.StatusServiceUnavailable, Code: CodeNotReady, Outcome: NotRun, Detail: "this router does not know the configuration or its zone's routers yet", After: defaultRetryAfter}, w, q)
 			return
 		}
 		next.ServeHTTP(w, q)
@@ -112,7 +112,7 @@
 // draining.
 func (r *Router) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	if r.gate.closed.Load() || !r.ready() {
-		http.Error(w, r.life.Current(), http.StatusServiceUnavailable)
+		http.Error(w, r.lifecycle.Current(), http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = w.Write([]byte("ready\n"))
@@ -146,14 +146,14 @@
 
 // handleChat serves POST /v1/chat/completions.
 func (r *Router) handleChat(w http.ResponseWriter, h *http.Request) {
-	q, err := r.parser().chat(h)
+	q, err := r.parser().parseChat(h)
 	if err != nil {
-		problemOf(err).write(w)
+		problemFromError(err).write(w)
 		return
 	}
-	boundWrite(w, q.deadline)
+	limitWriteTime(w, q.deadline)
 	w.Header().Set(headerRequestID, q.key.RequestID())
-	var s sink = &wholeSink{w: w, request: q}
+	var s sink = &jsonSink{w: w, request: q}
 	if q.streamed {
 		s = &streamSink{w: w, request: q}
 	}
@@ -166,12 +166,12 @@
 func (r *Router) handlePlain(w http.ResponseWriter, h *http.Request) {
 	service := h.PathValue("service")
 	path := strings.TrimPrefix(h.URL.EscapedPath(), servicesPath+service)
-	q, err := r.parser().plain(h, service, path)
+	q, err := r.parser().parsePlain(h, service, path)
 	if err != nil {
-		problemOf(err).write(w)
+		problemFromError(err).write(w)
 		return
 	}
-	boundWrite(w, q.deadline)
+	limitWriteTime(w, q.deadline)
 	w.Header().Set(headerRequestID, q.key.RequestID())
 	r.respond(h.Context(), q, &plainSink{w: w})
 }
@@ -182,10 +182,10 @@
 	ctx, cancel := context.WithDeadline(ctx, q.deadline)
 	defer cancel()
 	began := time.Now()
-	err := r.answerVia(ctx, q, &feed{sink: s})
-	r.recordEnd(q, began, err)
+	err := r.answerViaHome(ctx, q, &feed{sink: s})
+	r.recordOutcome(q, began, err)
 	if err != nil {
-		p := *problemOf(err)
+		p := *problemFromError(err)
 		p.RequestID = q.key.RequestID()
 		s.fail(&p)
 	}
--- a/router/heartbeat.go
+++ b/router/heartbeat.go
@@ -83,7 +83,7 @@
 		Router: r.self.Name(), Incarnation: uint64(r.incarnation), Draining: r.gate.closed.Load(), Records: batch,
 	}, grpc.WaitForReady(true))
 	if time.Since(began) < 2*heartbeatInterval {
-		x.lastAttempt.Store(r.peers.now())
+		x.lastAttempt.Store(r.peers.sinceStart())
 	}
 	if err != nil {
 		return false
@@ -98,7 +98,7 @@
 func (r *Router) endSilentSession(x *peer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if l := x.session.Load(); l.Err() == nil && !r.peers.isAlive(x) && !r.peers.unclear(x) {
+	if l := x.session.Load(); l.Err() == nil && !r.peers.isAlive(x) && !r.peers.isViewStale(x) {
 		l.cancel()
 		peerCounters.Add("siblings_lost", 1)
 		r.log.Info("sibling is silent", zap.String("router", x.process.Name()))
@@ -121,7 +121,7 @@
 		if len(m.Digest) != len(joiner.Digest{}) {
 			continue
 		}
-		r.records.put(rattanhoist.NewRequestKey(m.Workspace, m.RequestId), record{
+		r.runRecords.put(rattanhoist.NewRequestKey(m.Workspace, m.RequestId), runRecord{
 			owner: b.Router, digest: joiner.Digest(m.Digest),
 			stream:  joiner.Stream{ID: m.StreamId, Endpoint: m.Endpoint},
 			expires: now.Add(time.Duration(m.TimeoutMs)*time.Millisecond + r.settings.Policy().KeepAnswer()),
--- a/router/home.go
+++ b/router/home.go
@@ -37,7 +37,7 @@
 	// or not.
 	lastAttempt atomic.Int64
 	// reachedSince is since when the peer has reached this router, or
-	// notReached.
+	// notReachable.
 	reachedSince atomic.Int64
 	draining     atomic.Bool
 	// wake makes the next heartbeat go out at once.
@@ -102,7 +102,7 @@
 		}
 		x := &peer{process: p, conn: conn, client: messenger.NewHomeRouterClient(conn), records: make(chan *messenger.RunRecord, recordQueueSize), wake: make(chan struct{}, 1)}
 		x.lastHeard.Store(-int64(peerTimeout))
-		x.reachedSince.Store(notReached)
+		x.reachedSince.Store(notReachable)
 		x.session.Store(newSession(0, 0))
 		x.session.Load().cancel()
 		h.byName[p.Name()] = x
@@ -126,11 +126,11 @@
 		x.session.Store(&session{Context: l.Context, cancel: l.cancel, startedAt: l.startedAt, incarnation: b.Incarnation})
 	case l.Err() != nil || l.incarnation != b.Incarnation:
 		l.cancel()
-		x.session.Store(newSession(h.now(), b.Incarnation))
+		x.session.Store(newSession(h.sinceStart(), b.Incarnation))
 	}
 	x.draining.Store(b.Draining)
-	x.lastHeard.Store(h.now())
-	h.reached(x, b.ReachedForMs)
+	x.lastHeard.Store(h.sinceStart())
+	h.setReachedFor(x, b.ReachedForMs)
 }
 
 // markAlive records a message of a peer that is not a reply to a heartbeat.
@@ -138,16 +138,16 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.session.Load().Err() != nil {
-		x.session.Store(newSession(h.now(), 0))
+		x.session.Store(newSession(h.sinceStart(), 0))
 	}
-	x.lastHeard.Store(h.now())
+	x.lastHeard.Store(h.sinceStart())
 }
 
 // isAlive reports whether a peer was heard within peerTimeout. It compares with
 // the current time at each call, because a router that was stopped wakes up
 // with an outdated view.
 func (h *peerTable) isAlive(x *peer) bool {
-	return h.now()-x.lastHeard.Load() < int64(peerTimeout)
+	return h.sinceStart()-x.lastHeard.Load() < int64(peerTimeout)
 }
 
 // homeScore ranks a router as home of a request. All routers compute the same
--- a/router/home_server.go
+++ b/router/home_server.go
@@ -30,7 +30,7 @@
 	sink := &rpcSink{out: out, wantsStream: a.Streamed}
 	q, err := r.fromAnswerRequest(a)
 	if err != nil {
-		sink.fail(problemOf(err))
+		sink.fail(problemFromError(err))
 		return nil
 	}
 	if a.JoinOnly {
@@ -47,14 +47,14 @@
 		err = drainingProblem()
 	}
 	if err != nil {
-		sink.fail(problemOf(err))
+		sink.fail(problemFromError(err))
 	}
 	return nil
 }
 
 // drainingProblem returns the refusal of a router that is shutting down.
 func drainingProblem() *Problem {
-	return &Problem{Status: http.StatusServiceUnavailable, Code: CodeDraining, Outcome: NotRun, Detail: "this router is shutting down; ask another", After: retrySoon}
+	return &Problem{Status: http.StatusServiceUnavailable, Code: CodeDraining, Outcome: NotRun, Detail: "this router is shutting down; ask another", After: defaultRetryAfter}
 }
 
 // rpcSink sends an answer to another router.
--- a/router/identity_test.go
+++ b/router/identity_test.go
@@ -17,7 +17,7 @@
 	"rattanhoist.example/rattanhoist/router"
 )
 
-// idWithHome returns an id whose home is a router of a zone of two.
+// idWithHome returns an id whose home is the given one of the routers.
 func idWithHome(prefix, home string, routers ...string) string {
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("%s-%d", prefix, i)
@@ -29,8 +29,7 @@
 
 var osu = []string{"osu-hall-1", "osu-hall-2"}
 
-// startZone starts one zone of two routers with one engine and one plain
-// service.
+// startZone starts a zone of two routers with one engine and one plain service.
 func startZone(t *testing.T, net int, pace string) *fleet {
 	t.Helper()
 	f := startParallelFleet(t, launcher.Options{Net: net, Zones: []string{"osu-hall"}})
@@ -41,12 +40,11 @@
 	return f
 }
 
-// TestRetriesJoinOneRun
-// Symptom: a request that is sent again runs again and is billed again, or
-// its id brings another caller's answer.
-// Sequence: one id is sent at once through both routers of a zone, streamed,
-// and again after the end; then with another prompt; then as a whole answer.
-// Cause it guards against: routers that know only their own requests.
+// TestRetriesJoinOneRun sends one id through both routers of a zone,
+// concurrently and again after the end, as a stream and as a whole answer, and
+// then with another prompt. It guards against routers that know only their own
+// requests: a retry would run and be billed again, or its id would return
+// another caller's answer.
 func TestRetriesJoinOneRun(t *testing.T) {
 	f := startZone(t, 71, "2ms")
 	var wg sync.WaitGroup
@@ -76,14 +74,12 @@
 	}
 }
 
-// TestAnswerSurvivesItsHome
-// Symptom: the caller of a streamed answer gets a fragment, or an error though
-// the engine has the answer, when a router dies that it never spoke to.
-// Sequence: the request comes to one router, its home is the other; the home
-// is killed, or stopped without closing its connections, in the middle.
-// Cause it guards against: a relay that knows no stream to resume, or waits on
-// a connection that a stopped process keeps open.
-func TestAnswerSurvivesItsHome(t *testing.T) {
+// TestAnswerSurvivesLossOfHome streams a request through one router while its
+// home is the other, and kills the home in the middle or suspends it with its
+// connections open. It guards against a relay that knows no stream to resume,
+// or that waits on a connection of a suspended process: the caller would get a
+// fragment, or an error although the engine has the answer.
+func TestAnswerSurvivesLossOfHome(t *testing.T) {
 	f := startZone(t, 72, "10ms")
 	for _, fault := range []string{"kill", "freeze"} {
 		id := idWithHome(fault, osu[1], osu...)
@@ -117,12 +113,11 @@
 	}
 }
 
-// TestBrokenStreamsAreResumedOrRefused
-// Symptom: a caller takes a fragment, or an answer with a piece of another's,
-// for its own whole answer.
-// Sequence: the engine loses the connection, ends early with and without its
-// mark, dies, and sends another request's id in one event or in all.
-// Cause it guards against: an end that is taken on trust.
+// TestBrokenStreamsAreResumedOrRefused has the engine lose the connection, end
+// early with and without its completion mark, die, and send another request's
+// id in one event or in all. It guards against an end of the stream that is not
+// verified: the caller would take a fragment, or an answer mixed with
+// another's, for its whole answer.
 func TestBrokenStreamsAreResumedOrRefused(t *testing.T) {
 	f := startZone(t, 73, "2ms")
 	f.StartEndpoint("engine", "llm-2", "llm", "osu-hall", 3, "--capacity", "64", "--pace", "2ms")
@@ -151,7 +146,7 @@
 	}
 }
 
-// clearFaults ends the faults of stand-ins.
+// clearFaults ends the injected faults of endpoints.
 func (f *fleet) clearFaults(endpoints ...int) {
 	f.t.Helper()
 	for _, n := range endpoints {
@@ -163,10 +158,9 @@
 	}
 }
 
-// TestTicketDecidesInOnePlace
-// Symptom: a request that may not be repeated runs twice, in two zones.
-// Sequence: one ticket is used at once through both routers, and again after.
-// Cause it guards against: an id that is decided in more than one place.
+// TestTicketDecidesInOnePlace uses one ticket concurrently through both
+// routers. It guards against an id that more than one keeper decides: a
+// non-repeatable request would run twice.
 func TestTicketDecidesInOnePlace(t *testing.T) {
 	f := startZone(t, 74, "2ms")
 	id := f.ticket(osu[0])
@@ -185,12 +179,11 @@
 	f.g.Expect(f.billed(id)).To(gomega.Equal(1))
 }
 
-// TestBilledOnceThoughTwoZonesRan
-// Symptom: a request is billed twice.
-// Sequence: it is answered through one zone; the caller loses the answer and
-// sends it again through another, which runs and bills it too.
-// Cause it guards against: charges that are keyed by request in one zone only.
-func TestBilledOnceThoughTwoZonesRan(t *testing.T) {
+// TestBilledOnceAfterRunsInTwoZones has a request answered and billed in one
+// zone; the caller loses the answer and sends it again in another zone, which
+// runs and bills it too. It guards against charges that are unique per request
+// within a zone only: the request would stay billed twice.
+func TestBilledOnceAfterRunsInTwoZones(t *testing.T) {
 	f := startParallelFleet(t, launcher.Options{Net: 76})
 	f.StartEndpoint("engine", "llm-1", "llm", "osu-hall", 1)
 	f.awaitService(func(r, id string) call { return f.model(r, id, 4) })
@@ -201,13 +194,12 @@
 	f.Eventually("one bill is left", func() bool { return f.billed("twice") == 1 })
 }
 
-// TestCutZoneClaimsOnlyByItsTicket
-// Symptom: a request that may not be repeated runs on both sides of a cut, or
-// is called "not run" though the other side may have run it.
-// Sequence: a zone is cut off; it gets such requests with a ticket of its own
-// and with an id; the id runs on the other side and comes back after the heal.
-// Cause it guards against: claims that a minority grants.
-func TestCutZoneClaimsOnlyByItsTicket(t *testing.T) {
+// TestPartitionedZoneClaimsOnlyByOwnTicket sends non-repeatable requests to a
+// partitioned zone, with a ticket of that zone and with an id; the id runs on
+// the other side and is sent again after the partition. It guards against
+// claims that a minority grants: the request would run on both sides, or be
+// reported as not run although the other side may have run it.
+func TestPartitionedZoneClaimsOnlyByOwnTicket(t *testing.T) {
 	f := startParallelFleet(t, launcher.Options{Net: 80})
 	for i, z := range f.Settings().Zones() {
 		f.StartEndpoint("plain", "desk-"+z, "desk", z, i+1, "--pace", "5ms")
@@ -240,13 +232,12 @@
 	f.g.Expect(f.billed("ledger-7")).To(gomega.Equal(1))
 }
 
-// TestHomeCutOneWay
-// Symptom: requests wait until their deadline though an engine is free.
-// Sequence: one router no longer reaches its sibling, whose heartbeats still
-// come in; a request whose home is that sibling arrives.
-// Cause: a sibling was taken for alive because it was heard, not because it
-// could be reached.
-func TestHomeCutOneWay(t *testing.T) {
+// TestOneWayPartitionFromHome cuts the connections of one router to its
+// sibling, whose heartbeats still arrive, and sends a request whose home is the
+// sibling. The sibling was considered alive because it was heard, not because
+// it could be reached, so requests waited until their deadline although an
+// engine was idle.
+func TestOneWayPartitionFromHome(t *testing.T) {
 	f := startZone(t, 83, "2ms")
 	self, err := f.Settings().Process("router", osu[0])
 	f.g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -263,8 +254,8 @@
 	}
 }
 
-// homesCounter reads a counter of a router's view of its zone.
-func (f *fleet) homesCounter(router, name string) int {
+// peerCounter reads a counter of a router about its peers.
+func (f *fleet) peerCounter(router, name string) int {
 	f.t.Helper()
 	p, err := f.Settings().Process("router", router)
 	f.g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -276,13 +267,12 @@
 	return vars.Homes[name]
 }
 
-// TestRestartedRouterRunsNothingTwice
-// Symptom: a request that is sent again runs again after a router's restart.
-// Sequence: a router is killed; a request whose home it is runs at its sibling,
-// before (first round) and after the loss was noticed; it comes back, and as soon as it is ready the request is sent again through
-// it, and others are sent through both at once.
-// Cause: the router served before its sibling knew that it was back, and knew
-// nothing of what had run in its absence.
+// TestRestartedRouterRunsNothingTwice kills a router and runs a request whose
+// home it is at its sibling, before the loss is noticed (first round) or after.
+// As soon as the killed router is ready again, that request is sent through it
+// and others through both at once. The router served before its sibling knew
+// that it was back, and knew nothing of runs during its absence, so a retry ran
+// again.
 func TestRestartedRouterRunsNothingTwice(t *testing.T) {
 	f := startZone(t, 84, "2ms")
 	for round := range 3 {
@@ -295,10 +285,10 @@
 				return err == nil
 			})
 		}
-		lost := f.homesCounter(osu[0], "siblings_lost")
+		lost := f.peerCounter(osu[0], "siblings_lost")
 		f.Kill(osu[1])
 		if round > 0 {
-			f.Eventually("the loss is noticed", func() bool { return f.homesCounter(osu[0], "siblings_lost") > lost })
+			f.Eventually("the loss is noticed", func() bool { return f.peerCounter(osu[0], "siblings_lost") > lost })
 		}
 		early := idWithHome(fmt.Sprintf("early-%d", round), osu[1], osu...)
 		send(osu[0], early)
--- a/router/operations.go
+++ b/router/operations.go
@@ -11,21 +11,21 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// operationsServer answers operators.
+// operationsServer implements the RPC service for operators.
 type operationsServer struct {
 	messenger.UnimplementedOperationsServer
 	router *Router
 }
 
-// State returns the router's account of itself.
+// State returns the state of this router.
 func (s *operationsServer) State(context.Context, *messenger.StateRequest) (*messenger.StateReply, error) {
 	r := s.router
 	out := &messenger.StateReply{
-		Name: r.self.Name(), Kind: r.self.Kind(), Zone: r.self.Zone(), Life: r.life.Current(),
-		Incarnation: uint64(r.money.Incarnation()), ConfigurationAgeMs: configurationAgeMS(time.Now()),
+		Name: r.self.Name(), Kind: r.self.Kind(), Zone: r.self.Zone(), Life: r.lifecycle.Current(),
+		Incarnation: uint64(r.treasurer.Incarnation()), ConfigurationAgeMs: configurationAgeMS(time.Now()),
 		KeeperReachable: r.keeperConn.GetState() == connectivity.Ready,
 		UsableEndpoints: int64(len(r.usableEndpoints())), ActiveRequests: activeRequests.Value(),
-		AtRiskTokens: int64(r.money.Held()),
+		AtRiskTokens: int64(r.treasurer.Held()),
 	}
 	if c := r.snapshot.Load(); c != nil {
 		out.ConfigurationVersion = c.Version()
@@ -33,6 +33,7 @@
 	return out, nil
 }
 
+// usableEndpoints returns the known endpoints that may get requests now.
 func (r *Router) usableEndpoints() []*rattanhoist.Endpoint {
 	var out []*rattanhoist.Endpoint
 	now := time.Now()
@@ -44,7 +45,8 @@
 	return out
 }
 
-// Endpoints lists the endpoints that the router knows, with their ages.
+// Endpoints lists the endpoints that the router knows, with the ages of their
+// announcements.
 func (s *operationsServer) Endpoints(_ context.Context, q *messenger.EndpointsRequest) (*messenger.EndpointsReply, error) {
 	out := &messenger.EndpointsReply{
 		Router: s.router.self.Name(), MaxAgeMs: s.router.settings.Policy().EndpointMaxAge().Milliseconds(),
@@ -64,7 +66,7 @@
 	return out, nil
 }
 
-// Explain returns the decisions that the router remembers for a request.
+// Explain returns the recorded decisions for a request.
 func (s *operationsServer) Explain(_ context.Context, q *messenger.ExplainRequest) (*messenger.ExplainReply, error) {
 	out := &messenger.ExplainReply{Router: s.router.self.Name()}
 	for _, e := range s.router.decisions.Explain(q.Workspace, q.RequestId) {
@@ -78,8 +80,9 @@
 	return out, nil
 }
 
-// watchKeeper logs when the keeper comes into reach and goes out of it.
-func (r *Router) watchKeeper(ctx context.Context) {
+// logKeeperReachability logs each change of the connection to the keeper
+// between reachable and unreachable, until ctx ends.
+func (r *Router) logKeeperReachability(ctx context.Context) {
 	reached := false
 	for s := r.keeperConn.GetState(); ; s = r.keeperConn.GetState() {
 		if now := s == connectivity.Ready; now != reached {
--- a/router/overload_test.go
+++ b/router/overload_test.go
@@ -12,14 +12,12 @@
 	"rattanhoist.example/rattanhoist/launcher"
 )
 
-// TestOverloadRefusesTruthfully
-// Symptom: a request that was refused with "not run" ran, or the whole flood
-// is answered late.
-// Sequence: a fleet that answers some three requests a second gets fifty at
-// once with two seconds each, through both routers.
-// Cause it guards against: refusals that don't look at what was dispatched,
-// and admission without a look at the time left.
-func TestOverloadRefusesTruthfully(t *testing.T) {
+// TestOverloadReportsProvenOutcome sends fifty requests with a timeout of two
+// seconds at once, through both routers, to a fleet that answers about three a
+// second. It guards against refusals that ignore whether the request was
+// dispatched ("not run" for one that ran), and against admission that ignores
+// the remaining time (all answers late).
+func TestOverloadReportsProvenOutcome(t *testing.T) {
 	f := startFleet(t, launcher.Options{Net: 90, Zones: []string{"osu-hall"}})
 	f.StartEndpoint("engine", "llm-1", "llm", "osu-hall", 1, "--capacity", "2", "--pace", "10ms")
 	f.awaitService(func(r, id string) call { return f.model(r, id, 4) })
--- a/router/settle_test.go
+++ b/router/peer_view_test.go
@@ -15,25 +15,25 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// newPair returns a router with one sibling in its zone, at an address.
+// newPair returns a router with one sibling, "s", at the given address.
 func newPair(t *testing.T, address string) (*Router, *peer) {
 	t.Helper()
 	r := newTestRouter(t, fmt.Sprintf("[router s]\nzone = a\nhttp = 127.0.0.1:4\nrpc = %s\n", address))
 	return r, r.peers.byName["s"]
 }
 
-// ago sets how long ago the sibling was heard and a beat ended in time.
-func (h *peerTable) ago(x *peer, heard, tried time.Duration) {
-	x.lastHeard.Store(h.now() - int64(heard))
-	x.lastAttempt.Store(h.now() - int64(tried))
+// setTimes sets how long ago the sibling was heard and a heartbeat last ended
+// in time.
+func (h *peerTable) setTimes(x *peer, heard, tried time.Duration) {
+	x.lastHeard.Store(h.sinceStart() - int64(heard))
+	x.lastAttempt.Store(h.sinceStart() - int64(tried))
 }
 
-// TestStartedRouterWaitsForItsSiblings
-// Symptom: a request that is sent through two routers of a zone runs twice.
-// Sequence: both start; each has its configuration, neither has an answer to
-// its first beat; the request is sent through both.
-// Cause: a router served before its sibling and it knew each other, and took
-// itself for home to everything.
+// TestStartedRouterWaitsForItsSiblings guards against a router that serves
+// before it and its sibling know each other. Right after both start, with their
+// configuration but without a reply to the first heartbeat, each considered
+// itself the home of every request, so that a request sent through both ran
+// twice.
 func TestStartedRouterWaitsForItsSiblings(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, x := newPair(t, "127.0.0.1:5")
@@ -49,9 +49,9 @@
 	g.Expect(chat()).To(gomega.ContainSubstring(CodeNotReady))
 	r.peers.recordReply(x, &messenger.BeatReply{Incarnation: 7})
 	g.Expect(health()).To(gomega.Equal(http.StatusServiceUnavailable), "the sibling does not know this router yet")
-	g.Expect(r.peers.known()).To(gomega.BeZero())
+	g.Expect(r.peers.countMutuallyAlive()).To(gomega.BeZero())
 	_, err := r.fromAnswerRequest(&messenger.AnswerRequest{Digest: make([]byte, len(joiner.Digest{})), Workspace: "w", Service: "llm"})
-	g.Expect(problemOf(err).Code).To(gomega.Equal(CodeNotReady), "nor does it begin runs for others")
+	g.Expect(problemFromError(err).Code).To(gomega.Equal(CodeNotReady), "nor does it begin runs for others")
 	_, err = r.fromAnswerRequest(&messenger.AnswerRequest{Digest: make([]byte, len(joiner.Digest{})), Workspace: "w", Service: "llm", JoinOnly: true})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	r.peers.recordReply(x, &messenger.BeatReply{Incarnation: 7, ReachedForMs: 1})
@@ -61,13 +61,12 @@
 	g.Expect(health()).To(gomega.Equal(http.StatusOK), "once ready it serves, whatever becomes of siblings")
 }
 
-// TestKilledRouterIsNotItsSuccessor
-// Symptom: a router that was killed and is back is ready while its sibling
-// still holds the lost connection, and answers in its place.
-// Sequence: both know each other; the sibling is started anew within the second
-// in which it is not missed, and asks whether this router reaches it.
-// Cause: the sibling was known by its name alone.
-func TestKilledRouterIsNotItsSuccessor(t *testing.T) {
+// TestSuccessorIsNotTakenForKilledRouter restarts a sibling within the second
+// in which its loss goes unnoticed, and has it ask whether this router reaches
+// it. The sibling was identified by its name alone, so the restarted router
+// became ready while this one still held the lost connection and answered in
+// its place.
+func TestSuccessorIsNotTakenForKilledRouter(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, x := newPair(t, "127.0.0.1:5")
 	beat := func(incarnation uint64) int64 {
@@ -85,19 +84,17 @@
 	g.Expect(old.Err()).To(gomega.HaveOccurred(), "what waits for the old one ends")
 }
 
-// TestFirstBeatEndsNoRelay
-// Symptom: a caller is told "running" of a request whose holder is just sending
-// the answer.
-// Sequence: a sibling that is taken for dead begins to answer, which shows that
-// it lives; then it answers a beat.
-// Cause: the beat's incarnation differed from the one not known yet, so the life
-// that the answer had begun was ended as that of an earlier process.
-func TestFirstBeatEndsNoRelay(t *testing.T) {
+// TestFirstHeartbeatReplyKeepsRelay has a sibling that is considered dead start
+// to answer a request, which proves that it is alive, and then reply to a
+// heartbeat. The incarnation in the reply differed from the one not known yet,
+// so the session that the answer had started was ended as that of an earlier
+// process, and the caller got "running" although the answer was being sent.
+func TestFirstHeartbeatReplyKeepsRelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, x := newPair(t, "127.0.0.1:5")
 	ended := make(chan struct{})
-	w := watch{homes: r.peers, sibling: x, cancel: func() { close(ended) }}
-	w.heard()
+	w := peerWatch{peers: r.peers, sibling: x, cancel: func() { close(ended) }}
+	w.recordMessage()
 	l := x.session.Load()
 	r.peers.recordReply(x, &messenger.BeatReply{Incarnation: 7})
 	g.Expect(l.Err()).NotTo(gomega.HaveOccurred())
@@ -107,47 +104,47 @@
 	g.Eventually(ended, 10*time.Second).Should(gomega.BeClosed())
 }
 
-// TestLostSiblingHoldsNoStartUp guards the bound of the wait.
-func TestLostSiblingHoldsNoStartUp(t *testing.T) {
+// TestLostSiblingDoesNotBlockStartup checks that the wait for siblings is
+// bounded.
+func TestLostSiblingDoesNotBlockStartup(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, _ := newPair(t, "127.0.0.1:5")
-	r.peers.start = time.Now().Add(-settleWait / 2)
+	r.peers.start = time.Now().Add(-startupPeerTimeout / 2)
 	g.Expect(r.ready()).To(gomega.BeFalse())
-	r.peers.start = time.Now().Add(-settleWait)
+	r.peers.start = time.Now().Add(-startupPeerTimeout)
 	g.Expect(r.ready()).To(gomega.BeTrue())
-	g.Expect(r.peers.known()).To(gomega.BeZero(), "the log does not call a lost sibling known")
+	g.Expect(r.peers.countMutuallyAlive()).To(gomega.BeZero(), "the log does not call a lost sibling known")
 }
 
-// TestOwnPauseIsNoSilenceOfASibling
-// Symptom: a router that was stopped for two seconds breaks off what it relays
-// and runs again what its sibling runs.
-// Sequence: it is continued; no beat was sent meanwhile, so none was answered.
-// Cause: a sibling was taken for dead by the age of its last answer alone.
-func TestOwnPauseIsNoSilenceOfASibling(t *testing.T) {
+// TestOwnPauseDoesNotEndSiblingSession resumes a router that was suspended for
+// two seconds, during which it sent no heartbeat and so got no reply. A sibling
+// was considered dead by the age of its last reply alone, so the router broke
+// off what it relayed and ran requests again that its sibling was running.
+func TestOwnPauseDoesNotEndSiblingSession(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, x := newPair(t, "127.0.0.1:5")
 	r.peers.recordReply(x, &messenger.BeatReply{Incarnation: 7})
-	r.peers.ago(x, 2*time.Second, 2*time.Second)
+	r.peers.setTimes(x, 2*time.Second, 2*time.Second)
 	r.endSilentSession(x)
 	g.Expect(x.session.Load().Err()).NotTo(gomega.HaveOccurred(), "this router was silent itself")
 	seen := make(chan struct{})
 	go func() {
-		r.peers.await(t.Context())
+		r.peers.awaitClearView(t.Context())
 		close(seen)
 	}()
-	g.Consistently(seen, 5*viewPoll).ShouldNot(gomega.BeClosed())
-	r.peers.ago(x, 2*time.Second, 0)
+	g.Consistently(seen, 5*viewPollInterval).ShouldNot(gomega.BeClosed())
+	r.peers.setTimes(x, 2*time.Second, 0)
 	g.Eventually(seen, 10*time.Second).Should(gomega.BeClosed())
 	r.endSilentSession(x)
-	g.Expect(x.session.Load().Err()).To(gomega.HaveOccurred(), "a beat was sent and not answered")
+	g.Expect(x.session.Load().Err()).To(gomega.HaveOccurred(), "a heartbeat was sent and not answered")
 }
 
-// holder is a router that answers from a run of its own.
-type holder struct {
+// answeringRouter is a peer that answers every request from a run of its own.
+type answeringRouter struct {
 	messenger.UnimplementedHomeRouterServer
 }
 
-func (holder) Answer(_ *messenger.AnswerRequest, out messenger.HomeRouter_AnswerServer) error {
+func (answeringRouter) Answer(_ *messenger.AnswerRequest, out messenger.HomeRouter_AnswerServer) error {
 	for _, e := range []*messenger.AnswerEvent{
 		{Kind: &messenger.AnswerEvent_Begin{Begin: &messenger.AnswerBegin{}}},
 		{Kind: &messenger.AnswerEvent_Chunk{Chunk: &messenger.AnswerChunk{Text: []byte("ledger")}}},
@@ -160,18 +157,17 @@
 	return nil
 }
 
-// TestClaimHolderIsAskedThoughTakenForDead
-// Symptom: a caller is told "running" of a request that a sibling has the
-// answer of, and could be asked for.
-// Sequence: a ticket is used through both routers of a zone right after their
-// start; one has the claim; the other has had no answer to a beat yet.
-// Cause: the wait for a sibling that was taken for dead ended before it began.
-func TestClaimHolderIsAskedThoughTakenForDead(t *testing.T) {
+// TestClaimHolderIsAskedThoughConsideredDead uses a ticket through both routers
+// of a zone right after their start: one has the claim, the other has no reply
+// to a heartbeat yet. The wait for a sibling that was considered dead ended
+// before it began, so the caller got "running" although the sibling had the
+// answer and could be asked.
+func TestClaimHolderIsAskedThoughConsideredDead(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	s := messenger.NewServer(messenger.Keys{messenger.RoleMember: []byte(testSecret)})
-	messenger.RegisterHomeRouterServer(s, holder{})
+	messenger.RegisterHomeRouterServer(s, answeringRouter{})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(s.Stop)
 	r, x := newPair(t, l.Addr().String())
--- a/router/periods.go
+++ b/router/periods.go
@@ -1,10 +1,10 @@
 package router
 
-// Periods of a router's messages, for what is worked out from them.
+// Periods of a router's messages, exported for capacity calculations.
 const (
-	// BeatEvery is the time between two beats to one sibling.
+	// HeartbeatInterval is the time between two heartbeats to a sibling.
 	BeatEvery = heartbeatInterval
-	// RenewAfter is the time between two announcements of an endpoint to one
+	// RenewInterval is the time between two announcements of an endpoint to one
 	// router.
 	RenewAfter = renewInterval
 )
--- a/router/plain_test.go
+++ b/router/plain_test.go
@@ -18,7 +18,7 @@
 	"rattanhoist.example/rattanhoist/loader"
 )
 
-// deskHandler answers as its path says.
+// deskHandler answers according to the path.
 func deskHandler(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	w.Header().Set("ETag", `"7"`)
@@ -42,7 +42,7 @@
 	}
 }
 
-// startDesk serves a plain service from the test and announces it.
+// startDesk serves a plain service from the test process and announces it.
 func (f *fleet) startDesk(address string) {
 	f.t.Helper()
 	s := &httptest.Server{Listener: listen(f.t, address), Config: &http.Server{Handler: http.HandlerFunc(deskHandler)}}
@@ -58,7 +58,7 @@
 	go imitator.NewAnnouncer(a, routers, "endpoint-key-of-a-test-deployment", 200*time.Millisecond, func() int64 { return 0 }).Run(ctx)
 }
 
-// send makes a plain call and returns the answer with its body.
+// send makes a plain call and returns the response and its body.
 func (f *fleet) send(method, path, body string, header ...string) (*http.Response, string) {
 	f.t.Helper()
 	r, err := http.NewRequest(method, "http://"+f.http(osu[0])+"/v1/services/desk"+path, strings.NewReader(body))
@@ -76,12 +76,11 @@
 	return resp, string(bytes.TrimSpace(b))
 }
 
-// TestPlainCallsPassThrough
-// Symptom: a plain service gets another call than the caller made, or the
-// caller another answer; a failure costs money; a fragment passes as whole.
-// Sequence: calls with escaped paths, queries, headers and methods; answers of
-// each class of status; an answer that ends with its connection.
-// Cause it guards against: a router that reads more into a call than it must.
+// TestPlainCallsPassThrough makes calls with escaped paths, queries, headers
+// and methods, and gets answers of each status class and one that ends with its
+// connection. It guards against a router that interprets more of a call than it
+// must: service or caller would get something else than was sent, a failure
+// would be billed, or a fragment would pass as a whole answer.
 func TestPlainCallsPassThrough(t *testing.T) {
 	f := startParallelFleet(t, launcher.Options{Net: 78, Zones: []string{"osu-hall"}})
 	f.startDesk(f.EndpointAddress(1))
--- a/router/problem.go
+++ b/router/problem.go
@@ -13,20 +13,21 @@
 	"rattanhoist.example/rattanhoist/joiner"
 )
 
-// Outcome says whether a refused request ran.
+// Outcome tells whether a refused request ran.
 type Outcome string
 
 // Outcomes of a refusal.
 const (
-	// NotRun says that the request was provably not dispatched.
+	// NotRun means that the request was provably not dispatched.
 	NotRun Outcome = "not_run"
-	// Unknown says that the request may have run.
+	// Unknown means that the request may have run.
 	Unknown Outcome = "unknown"
-	// Ran says that the request ran to its end; its answer can't be given.
+	// Ran means that the request ran to its end, but its answer is not
+	// available.
 	Ran Outcome = "ran"
 )
 
-// Codes of refusals; stable, for programs.
+// Codes of refusals. They are stable, so that programs can match them.
 const (
 	CodeBadRequest       = "bad_request"
 	CodeTooLarge         = "body_too_large"
@@ -42,36 +43,41 @@
 	CodeDeadline         = "deadline"
 	CodeEndpointFailed   = "endpoint_failed"
 	CodeBillingFailed    = "billing_failed"
-	// CodeEndpointRefused says that the endpoint found fault with the request.
+	// CodeEndpointRefused means that the endpoint rejected the request as
+	// invalid.
 	CodeEndpointRefused = "endpoint_refused"
-	// CodeIDReused says that the request id belongs to another request.
+	// CodeIDReused means that the request id belongs to a different request.
 	CodeIDReused = "id_reused"
-	// CodeRunning says that another attempt of the request is in progress.
+	// CodeRunning means that another attempt of the request is in progress.
 	CodeRunning = "running"
-	// CodeOutcomeUnknown says that an attempt may have run and can't be asked.
+	// CodeOutcomeUnknown means that an earlier attempt may have run, and the
+	// router that has its outcome can't be reached.
 	CodeOutcomeUnknown = "outcome_unknown"
-	// CodeAnswerGone says that the request ran and its answer is not kept.
+	// CodeAnswerGone means that the request ran and its answer is no longer
+	// kept.
 	CodeAnswerGone = "answer_gone"
-	// CodeUndecided says that too few keepers could be asked for a claim.
+	// CodeUndecided means that too few keepers answered to decide a claim.
 	CodeUndecided = "claim_undecided"
-	// CodeStreamBroken says that an answer broke off after its first bytes.
+	// CodeStreamBroken means that an answer broke off after its first bytes.
 	CodeStreamBroken = "stream_broken"
-	// CodeStopped says that the run that was joined ended before its dispatch.
+	// CodeStopped means that the run which the request joined ended before it
+	// was dispatched.
 	CodeStopped = "stopped"
-	// CodeAbsent is between routers: nothing is remembered under the id.
+	// CodeAbsent is used between routers only: no run or answer is known for
+	// the id.
 	CodeAbsent = "absent"
-	// CodeOverloaded says that the request was refused before it ran, because
-	// it would not have been answered by its deadline.
+	// CodeOverloaded means that the request was refused before it ran, because
+	// it could not have been answered by its deadline.
 	CodeOverloaded = "overloaded"
 	// CodeAddressTaken and CodeTooManyEndpoints refuse announcements.
 	CodeAddressTaken     = "address_taken"
 	CodeTooManyEndpoints = "too_many_endpoints"
 )
 
-// codeInternal says that the router itself failed.
+// codeInternal means that the router itself failed.
 const codeInternal = "internal"
 
-// Problem is a refusal as problem details (RFC 9457).
+// Problem is the problem details object (RFC 9457) of a refused request.
 type Problem struct {
 	Status    int           `json:"status"`
 	Title     string        `json:"title"`
@@ -86,24 +92,26 @@
 // Error returns the code and the detail.
 func (p *Problem) Error() string { return p.Code + ": " + p.Detail }
 
+// badField returns the problem for an invalid field or header of a request.
 func badField(field, detail string) *Problem {
 	return &Problem{Status: http.StatusBadRequest, Code: CodeBadRequest, Field: field, Detail: detail, Outcome: NotRun}
 }
 
-// retrySoon is when to come back after a refusal that a repair may lift.
-const retrySoon = time.Second
+// defaultRetryAfter is the Retry-After time of refusals whose cause may be
+// temporary.
+const defaultRetryAfter = time.Second
 
-// retryAfter returns when an error says to come back.
+// retryAfter returns the retry time that an error carries, or the default.
 func retryAfter(err error) time.Duration {
 	var t interface{ RetryAfter() time.Duration }
 	if errors.As(err, &t) {
 		return t.RetryAfter()
 	}
-	return retrySoon
+	return defaultRetryAfter
 }
 
-// problemOf turns an error into its refusal.
-func problemOf(err error) *Problem {
+// problemFromError maps an error to the problem that is sent to the caller.
+func problemFromError(err error) *Problem {
 	var p *Problem
 	switch {
 	case errors.As(err, &p):
@@ -111,7 +119,7 @@
 	case errors.Is(err, rattanhoist.ErrUnknownWorkspace):
 		return &Problem{Status: http.StatusUnauthorized, Code: CodeUnknownKey, Field: "Authorization", Outcome: NotRun, Detail: "the bearer key belongs to no workspace"}
 	case errors.Is(err, rattanhoist.ErrNoEndpoint):
-		return &Problem{Status: http.StatusServiceUnavailable, Code: CodeNoEndpoint, Outcome: NotRun, Detail: err.Error(), After: retrySoon}
+		return &Problem{Status: http.StatusServiceUnavailable, Code: CodeNoEndpoint, Outcome: NotRun, Detail: err.Error(), After: defaultRetryAfter}
 	case errors.Is(err, rattanhoist.ErrBudgetSpent):
 		return &Problem{Status: http.StatusPaymentRequired, Code: CodeBudgetSpent, Outcome: NotRun, Detail: err.Error()}
 	case errors.Is(err, joiner.ErrReused):
@@ -119,27 +127,28 @@
 	case errors.Is(err, joiner.ErrAbsent):
 		return &Problem{Status: http.StatusNotFound, Code: CodeAbsent, Outcome: Unknown, Detail: err.Error()}
 	case errors.Is(err, joiner.ErrStopped), errors.Is(err, context.Canceled):
-		return &Problem{Status: http.StatusServiceUnavailable, Code: CodeStopped, Outcome: Unknown, Detail: "the run ended early; ask again under the same id", After: retrySoon}
+		return &Problem{Status: http.StatusServiceUnavailable, Code: CodeStopped, Outcome: Unknown, Detail: "the run ended early; ask again under the same id", After: defaultRetryAfter}
 	case errors.Is(err, joiner.ErrPassed):
-		return &Problem{Status: http.StatusBadGateway, Code: CodeStreamBroken, Outcome: Unknown, Detail: "the answer broke off; ask again under the same id", After: retrySoon}
+		return &Problem{Status: http.StatusBadGateway, Code: CodeStreamBroken, Outcome: Unknown, Detail: "the answer broke off; ask again under the same id", After: defaultRetryAfter}
 	case errors.Is(err, context.DeadlineExceeded):
-		return &Problem{Status: http.StatusGatewayTimeout, Code: CodeDeadline, Outcome: Unknown, Detail: "the deadline has passed", After: retrySoon}
+		return &Problem{Status: http.StatusGatewayTimeout, Code: CodeDeadline, Outcome: Unknown, Detail: "the deadline has passed", After: defaultRetryAfter}
 	case errors.Is(err, rattanhoist.ErrBudgetOutOfReach):
 		return &Problem{Status: http.StatusServiceUnavailable, Code: CodeBudgetOutOfReach, Outcome: NotRun, Detail: err.Error(), After: retryAfter(err)}
 	default:
-		return &Problem{Status: http.StatusBadGateway, Code: CodeEndpointFailed, Outcome: Unknown, Detail: err.Error(), After: retrySoon}
+		return &Problem{Status: http.StatusBadGateway, Code: CodeEndpointFailed, Outcome: Unknown, Detail: err.Error(), After: defaultRetryAfter}
 	}
 }
 
-func (p *Problem) title() {
+// setDefaultTitle sets an empty title to the text of the HTTP status.
+func (p *Problem) setDefaultTitle() {
 	if p.Title == "" {
 		p.Title = http.StatusText(p.Status)
 	}
 }
 
-// write sends the refusal.
+// write sends the problem as the HTTP response.
 func (p *Problem) write(w http.ResponseWriter) {
-	p.title()
+	p.setDefaultTitle()
 	w.Header().Set("Content-Type", "application/problem+json")
 	if p.After > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(p.After.Seconds()))))
--- a/router/relay.go
+++ b/router/relay.go
@@ -15,33 +15,35 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// errHomeLost says that a sibling ended or fell silent before its answer did.
+// errHomeLost is returned if a sibling disconnects or is considered dead before
+// its answer is complete.
 var errHomeLost = merry.Sentinel("the router that runs the request is lost")
 
-// deadlineMargin is how much earlier the home gives up than its relay, so
-// that the home's better knowledge of the outcome reaches the caller.
+// deadlineMargin is how much earlier the home gives up than the router that
+// relays its answer. The home knows the outcome better, and its refusal then
+// reaches the caller in time.
 const deadlineMargin = 20 * time.Millisecond
 
-// answerVia has the request's home answer it, the next home where that one is
-// lost, and this router last.
-func (r *Router) answerVia(ctx context.Context, q *request, f *feed) error {
+// answerViaHome answers a request through its home. If the home is lost, the
+// next one in rank takes over, and this router itself comes last.
+func (r *Router) answerViaHome(ctx context.Context, q *request, f *feed) error {
 	tried := map[string]bool{}
 	for {
-		r.peers.await(ctx)
+		r.peers.awaitClearView(ctx)
 		x := r.peers.homeOf(q.key, tried)
 		if x == nil {
 			return r.answerLocally(ctx, q, f, false)
 		}
 		err := r.relayTraced(ctx, q, x, f)
-		if ctx.Err() != nil || !askNext(err) {
+		if ctx.Err() != nil || !canAskNextRouter(err) {
 			return err
 		}
 		peerCounters.Add("homes_lost", 1)
 		tried[x.process.Name()] = true
-		// The lost home may have run the request; where its bytes came from
-		// is resumed, so that the caller's answer goes on with the same run.
+		// The lost home may have run the request. Resume the stream that its
+		// bytes came from, so that the caller's answer continues the same run.
 		c := *q
-		c.again = c.again || errors.Is(err, errHomeLost)
+		c.rerouted = c.rerouted || errors.Is(err, errHomeLost)
 		if f.stream.ID != "" {
 			c.resume = f.stream
 		}
@@ -49,12 +51,14 @@
 	}
 }
 
-// joinPatience bounds the wait for a sign of a router that may have a run: in
-// a cut zone it would otherwise take the time in which another could answer.
-const joinPatience = time.Second
+// joinTimeout bounds the wait for the first message of a router that may have a
+// run. Without it, a partitioned zone would use up the time in which another
+// router could answer.
+const joinTimeout = time.Second
 
-// askNext reports whether another router may answer what this one has not.
-func askNext(err error) bool {
+// canAskNextRouter reports whether another router may be able to answer after
+// this error.
+func canAskNextRouter(err error) bool {
 	var p *Problem
 	if errors.As(err, &p) {
 		return p.Code == CodeDraining || p.Code == CodeNotReady
@@ -62,8 +66,8 @@
 	return errors.Is(err, errHomeLost)
 }
 
-// joinAt takes a run's answer from the router that has it.
-func (r *Router) joinAt(ctx context.Context, q *request, run *joiner.Run, x *peer) (*joiner.Answer, error) {
+// joinRunAt copies the answer of a run at another router into a local run.
+func (r *Router) joinRunAt(ctx context.Context, q *request, run *joiner.Run, x *peer) (*joiner.Answer, error) {
 	run.Follow(true)
 	defer run.Follow(false)
 	s := &runSink{run: run}
@@ -73,11 +77,12 @@
 	return s.answer, nil
 }
 
-// relay asks a sibling for the answer and feeds it on.
+// relay asks a peer for the answer and passes its events to the feed. With
+// joinOnly, the peer starts no run of its own.
 func (r *Router) relay(ctx context.Context, q *request, x *peer, f *feed, joinOnly bool) error {
 	c, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w := watch{homes: r.peers, sibling: x, cancel: cancel}
+	w := peerWatch{peers: r.peers, sibling: x, cancel: cancel}
 	if x.session.Load().Err() == nil {
 		w.begin()
 	}
@@ -86,29 +91,30 @@
 	ask.Streamed = f.sink.streamed()
 	in, err := x.client.Answer(c, ask)
 	if err != nil {
-		return lost(ctx, err)
+		return relayError(ctx, err)
 	}
-	taken := time.AfterFunc(time.Until(q.deadline), cancel)
-	defer taken.Stop()
+	firstEventTimer := time.AfterFunc(time.Until(q.deadline), cancel)
+	defer firstEventTimer.Stop()
 	if joinOnly {
-		taken.Reset(joinPatience)
+		firstEventTimer.Reset(joinTimeout)
 	}
 	for {
 		e, err := in.Recv()
-		taken.Stop()
+		firstEventTimer.Stop()
 		if err != nil {
-			return lost(ctx, err)
+			return relayError(ctx, err)
 		}
-		w.heard()
-		done, err := feedEvent(f, e)
+		w.recordMessage()
+		done, err := applyAnswerEvent(f, e)
 		if done || err != nil {
 			return err
 		}
 	}
 }
 
-// lost tells a lost sibling from the end of the caller's own time.
-func lost(ctx context.Context, err error) error {
+// relayError converts a failure of the answer stream. The caller's own
+// cancellation or deadline takes precedence over the loss of the peer.
+func relayError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -121,7 +127,9 @@
 	return merry.Wrap(errHomeLost, merry.AppendMessage(err.Error()))
 }
 
-func feedEvent(f *feed, e *messenger.AnswerEvent) (done bool, err error) {
+// applyAnswerEvent passes one event of a peer's answer to the feed and reports
+// whether it was the last.
+func applyAnswerEvent(f *feed, e *messenger.AnswerEvent) (done bool, err error) {
 	switch k := e.Kind.(type) {
 	case *messenger.AnswerEvent_Begin:
 		return false, f.begin(joiner.Stream{ID: k.Begin.StreamId, Endpoint: k.Begin.Endpoint})
--- a/router/request.go
+++ b/router/request.go
@@ -30,11 +30,12 @@
 const (
 	maxRequestID = 200
 	maxPriority  = 9
-	// prefixBytes is how much of a prompt tells requests of one prefix.
-	prefixBytes = 256
+	// maxPrefixBytes is the length of the start of a prompt whose hash
+	// identifies requests with the same prefix.
+	maxPrefixBytes = 256
 )
 
-// chatBody is the part of a chat completion request that the router reads.
+// chatBody holds the fields of a chat completion request that the router reads.
 type chatBody struct {
 	Model     string `json:"model"`
 	Stream    bool   `json:"stream"`
@@ -45,52 +46,54 @@
 	N                   *int64          `json:"n"`
 }
 
-// request is one parsed request; immutable after parsing.
+// request is a parsed request. It is immutable after parsing.
 type request struct {
 	key       rattanhoist.RequestKey
 	workspace *configurer.Workspace
 	service   *messenger.Service
 	body      []byte
-	// Method, path (as escaped), raw query and header are what the endpoint gets.
+	// method, path (escaped), rawQuery and header are sent to the endpoint.
 	method, path, rawQuery string
 	header                 http.Header
-	// Digest sums up what the request asks for.
+	// digest covers everything that the request asks for.
 	digest joiner.Digest
-	// OwnID says that the id was made here, so that there was no earlier
-	// attempt.
-	ownID  bool
-	ticket ticket
-	// Again says that another router was asked before.
-	again bool
-	// Resume is where bytes that the caller has had came from.
+	// generatedID means that this router made up the id, so that there was no
+	// earlier attempt.
+	generatedID bool
+	ticket      ticket
+	// rerouted means that another router was asked before.
+	rerouted bool
+	// resume is the stream from which the caller already has bytes.
 	resume   joiner.Stream
 	streamed bool
-	// MaxAnswer bounds the answer in generated tokens.
+	// maxAnswer bounds the answer in generated tokens.
 	maxAnswer  int64
 	repeatable bool
-	// Priority is 0 (first) to 9.
-	priority int
-	deadline time.Time
-	prefix   uint64
-	// Worst is the largest charge that the request can cause.
-	worst rattanhoist.Tokens
+	// priority is 0 (first) to 9.
+	priority   int
+	deadline   time.Time
+	prefixHash uint64
+	// maxCharge is the largest charge that the request can cause.
+	maxCharge rattanhoist.Tokens
 }
 
-// parser reads requests against one snapshot and the bounds of the settings.
+// parser parses requests against one configuration snapshot and the limits of
+// the settings.
 type parser struct {
 	snapshot       *configurer.Snapshot
 	maxBody        int64
 	defaultTimeout time.Duration
 	maxTimeout     time.Duration
 	now            time.Time
-	// NewID makes the id of a request that comes without one.
+	// newID generates the id of a request that comes without one.
 	newID func(workspace string) string
 }
 
 const chatPath = "/v1/chat/completions"
 
-func (p parser) chat(r *http.Request) (*request, error) {
-	q, err := p.common(r)
+// parseChat parses a chat completion request.
+func (p parser) parseChat(r *http.Request) (*request, error) {
+	q, err := p.parseCommon(r)
 	if err != nil {
 		return nil, err
 	}
@@ -109,17 +112,17 @@
 		return nil, &Problem{Status: http.StatusNotFound, Code: CodeUnknownModel, Field: "model", Outcome: NotRun, Detail: "no service has the model " + strconv.Quote(b.Model)}
 	}
 	q.streamed = b.Stream
-	if err := q.bound(b); err != nil {
+	if err := q.setLimits(b); err != nil {
 		return nil, err
 	}
 	q.method, q.path, q.header = http.MethodPost, chatPath, http.Header{"Content-Type": {"application/json"}}
-	q.prefix = xxhash.Sum64(b.Messages[:min(len(b.Messages), prefixBytes)])
-	return q, p.finish(r, q)
+	q.prefixHash = xxhash.Sum64(b.Messages[:min(len(b.Messages), maxPrefixBytes)])
+	return q, p.parseOptions(r, q)
 }
 
-// bound sets the largest answer and the largest charge. A token is at least
-// one byte, so the bytes of the messages bound the prompt's tokens.
-func (q *request) bound(b chatBody) error {
+// setLimits sets the longest answer and the largest charge. A token is at least
+// one byte, so the length of the messages in bytes bounds the prompt tokens.
+func (q *request) setLimits(b chatBody) error {
 	q.maxAnswer = q.service.MaxAnswerTokens
 	for _, f := range []struct {
 		name  string
@@ -141,15 +144,16 @@
 	if err != nil {
 		return badField("max_tokens", err.Error())
 	}
-	q.worst, err = prompt.Add(answer)
+	q.maxCharge, err = prompt.Add(answer)
 	if err != nil {
 		return badField("max_tokens", err.Error())
 	}
 	return nil
 }
 
-func (p parser) plain(r *http.Request, service, path string) (*request, error) {
-	q, err := p.common(r)
+// parsePlain parses a call to a plain service.
+func (p parser) parsePlain(r *http.Request, service, path string) (*request, error) {
+	q, err := p.parseCommon(r)
 	if err != nil {
 		return nil, err
 	}
@@ -159,12 +163,13 @@
 	}
 	q.method, q.path, q.rawQuery = r.Method, path, r.URL.RawQuery
 	q.header = filterHeader(r.Header, forwardedRequestHeaders)
-	q.worst = rattanhoist.Tokens(q.service.CallPrice)
-	return q, p.finish(r, q)
+	q.maxCharge = rattanhoist.Tokens(q.service.CallPrice)
+	return q, p.parseOptions(r, q)
 }
 
-// common reads what both shapes share: the caller, the body and the identity.
-func (p parser) common(r *http.Request) (*request, error) {
+// parseCommon reads what chat and plain requests have in common: the workspace,
+// the id and the body.
+func (p parser) parseCommon(r *http.Request) (*request, error) {
 	key := bearerKey(r)
 	if key == "" {
 		return nil, &Problem{Status: http.StatusUnauthorized, Code: CodeUnknownKey, Field: "Authorization", Outcome: NotRun, Detail: "want Authorization: Bearer KEY"}
@@ -174,16 +179,17 @@
 		return nil, err
 	}
 	q := &request{workspace: w}
-	if err := p.identify(r, q); err != nil {
+	if err := p.parseID(r, q); err != nil {
 		return nil, err
 	}
 	q.body, err = p.readBody(r)
 	return q, err
 }
 
-// identify reads the id. A ticket is the id, also where it comes without its
-// header: every attempt must be decided in the same place.
-func (p parser) identify(r *http.Request, q *request) error {
+// parseID reads the request id. A ticket serves as the id even if it is sent in
+// the idempotency header alone, because every attempt must be decided by the
+// same keeper.
+func (p parser) parseID(r *http.Request, q *request) error {
 	id := r.Header.Get(headerIdempotencyKey)
 	if t := r.Header.Get(headerTicket); t != "" {
 		if _, ok := parseTicket(t); !ok {
@@ -197,19 +203,20 @@
 	if len(id) > maxRequestID {
 		return badField(headerIdempotencyKey, "longer than 200 characters")
 	}
-	if !printable(id) {
+	if !isPrintable(id) {
 		return badField(headerIdempotencyKey, "want printable ASCII characters")
 	}
 	if id == "" {
-		id, q.ownID = p.newID(q.workspace.Name()), true
+		id, q.generatedID = p.newID(q.workspace.Name()), true
 	}
 	q.key = rattanhoist.NewRequestKey(q.workspace.Name(), id)
 	q.ticket, _ = parseTicket(id)
 	return nil
 }
 
-// printable keeps ids out that a header or the protocol can't carry.
-func printable(id string) bool {
+// isPrintable reports whether an id consists of printable ASCII characters.
+// Others can't be carried by a header or by the RPC protocol.
+func isPrintable(id string) bool {
 	for _, c := range []byte(id) {
 		if c < ' ' || c > '~' {
 			return false
@@ -218,6 +225,7 @@
 	return true
 }
 
+// readBody reads the whole body, up to the size limit.
 func (p parser) readBody(r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, p.maxBody))
 	var tooLarge *http.MaxBytesError
@@ -225,7 +233,7 @@
 		return nil, &Problem{Status: http.StatusRequestEntityTooLarge, Code: CodeTooLarge, Field: "body", Outcome: NotRun, Detail: "the body is larger than " + strconv.FormatInt(p.maxBody, 10) + " bytes"}
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, tooSlow(r)
+		return nil, bodyTimeoutProblem(r)
 	}
 	if err != nil {
 		return nil, badField("body", "could not be read: "+err.Error())
@@ -233,18 +241,20 @@
 	return body, nil
 }
 
-// tooSlow refuses a body that did not come in time. Under an id or a ticket
-// that was sent before, an earlier sending may have run.
-func tooSlow(r *http.Request) *Problem {
-	p := &Problem{Status: http.StatusRequestTimeout, Code: CodeTooSlow, Field: "body", Outcome: NotRun, Detail: "the body did not come within " + bodyBound(r.Header, bodyTimeout).String()}
+// bodyTimeoutProblem refuses a body that did not arrive in time. If the caller
+// sent an id or a ticket, an earlier attempt may have run, so the outcome is
+// unknown.
+func bodyTimeoutProblem(r *http.Request) *Problem {
+	p := &Problem{Status: http.StatusRequestTimeout, Code: CodeTooSlow, Field: "body", Outcome: NotRun, Detail: "the body did not come within " + bodyTimeLimit(r.Header, bodyTimeout).String()}
 	if r.Header.Get(headerIdempotencyKey) != "" || r.Header.Get(headerTicket) != "" {
 		p.Outcome = Unknown
 	}
 	return p
 }
 
-// finish reads the headers that need the service.
-func (p parser) finish(r *http.Request, q *request) error {
+// parseOptions reads the headers whose defaults depend on the service, and
+// computes the digest.
+func (p parser) parseOptions(r *http.Request, q *request) error {
 	timeout := p.defaultTimeout
 	if v := r.Header.Get(headerTimeout); v != "" {
 		d, err := time.ParseDuration(v)
--- a/router/router.go
+++ b/router/router.go
@@ -1,6 +1,6 @@
-// Package router is the process between callers and endpoints: it checks the
-// caller, reserves budget, picks an endpoint, relays the whole answer and
-// bills it once.
+// Package router implements the process between callers and endpoints. It
+// authenticates the caller, reserves budget, picks an endpoint, relays the
+// whole answer and bills it once.
 package router
 
 import (
@@ -28,7 +28,7 @@
 	"rattanhoist.example/rattanhoist/treasurer"
 )
 
-// States and events of a router's life.
+// States of a router process and the events that change them.
 const (
 	stateStarting = "starting"
 	stateReady    = "ready"
@@ -38,25 +38,27 @@
 )
 
 const (
-	readHeaderTimeout = 5 * time.Second
-	maxHeaderBytes    = 64 << 10
-	idleTimeout       = 2 * time.Minute
-	expireEvery       = time.Second
-	giveBackTimeout   = 3 * time.Second
-	idlePerEndpoint   = 64
-	// dialTimeout bounds a connection attempt at an endpoint: the address of a
-	// lost VM neither takes nor refuses one, and a request that waited for it
-	// until its deadline could not be tried elsewhere. One SYN may be sent
-	// again.
+	readHeaderTimeout       = 5 * time.Second
+	maxHeaderBytes          = 64 << 10
+	idleTimeout             = 2 * time.Minute
+	expiryInterval          = time.Second
+	returnRightsTimeout     = 3 * time.Second
+	maxIdleConnsPerEndpoint = 64
+	// dialTimeout bounds a connection attempt to an endpoint. The address of a
+	// lost VM neither accepts nor refuses connections; a request that waited
+	// for it until its deadline could not be tried elsewhere. The time allows
+	// for one retransmission of the SYN.
 	dialTimeout = 2 * time.Second
-	// idleConnTimeout closes kept connections to endpoints: there is no other
-	// bound on those to endpoints that get no work any more.
+	// idleConnTimeout closes idle connections to endpoints. Nothing else bounds
+	// those to endpoints that no longer get work.
 	idleConnTimeout = 90 * time.Second
-	// drainNotice is how long a draining router still answers that it is
-	// draining, so that balancers and callers learn it without a lost
-	// connection.
-	drainNotice    = time.Second
-	forgetEndpoint = 10 * time.Minute
+	// drainNoticePeriod is how long a draining router keeps answering that it
+	// is draining, so that load balancers and callers learn of it without a
+	// lost connection.
+	drainNoticePeriod = time.Second
+	// endpointRetention is how long the ledger keeps an endpoint that is no
+	// longer heard of.
+	endpointRetention = 10 * time.Minute
 )
 
 // Router is one router process.
@@ -64,54 +66,56 @@
 	settings     *loader.Settings
 	self         loader.Process
 	log          *zap.Logger
-	life         *fsm.FSM
+	lifecycle    *fsm.FSM
 	snapshot     atomic.Pointer[configurer.Snapshot]
 	tracker      *tracker.Tracker
 	gossip       *gossiper
-	money        *treasurer.Treasurer
+	treasurer    *treasurer.Treasurer
 	engineClient *http.Client
-	// KeeperConn is the connection to the zone's keeper.
+	// keeperConn is the connection to the zone's keeper.
 	keeperConn *grpc.ClientConn
 	decisions  decisionRecorder
-	// Pickers maps plug-in names to *picker.Picker instances.
+	// pickers maps plug-in names to *picker.Picker instances.
 	pickers sync.Map
-	// Ledger is what this router has learned of endpoints, from ledgerBase on.
+	// ledger holds what this router has learned about endpoints, with times
+	// relative to ledgerBase.
 	ledger          *picker.Ledger
 	ledgerBase      time.Time
 	candidateTables atomic.Pointer[candidateCache]
-	// Limiters maps service names to *limiter.
-	limiters sync.Map
-	server   *http.Server
-	dialer   *messenger.Dialer
-	peerRPC  *grpc.Server
-	peers    *peerTable
-	records  records
-	joiner   *joiner.Joiner
-	claims   claimKeepers
-	// Incarnation tells the starts of this process apart in claims.
+	// limiters maps service names to *limiter.
+	limiters   sync.Map
+	server     *http.Server
+	dialer     *messenger.Dialer
+	peerRPC    *grpc.Server
+	peers      *peerTable
+	runRecords runRecordStore
+	joiner     *joiner.Joiner
+	claims     claimKeepers
+	// incarnation identifies this start of the process in claims.
 	incarnation rattanhoist.Incarnation
-	// Attempts counts the claims that this incarnation has asked for.
+	// attempts counts the claims that this incarnation has requested.
 	attempts atomic.Uint64
-	// Handover ends when the operator will not wait for rights to go back.
-	handover context.Context
-	hurry    context.CancelFunc
-	// Gate counts requests and runs in progress; it closes to drain.
+	// handover is canceled when the operator does not want to wait until rights
+	// are returned.
+	handover       context.Context
+	cancelHandover context.CancelFunc
+	// gate counts requests and runs in progress. It is closed to drain.
 	gate gate
 }
 
-// New returns a router; the returned function releases what New took.
+// New returns a router. The returned function releases its resources.
 func New(s *loader.Settings, self loader.Process, log *zap.Logger) (*Router, func(), error) {
 	now := time.Now()
 	r := &Router{
 		settings: s, self: self, log: log,
 		incarnation:  rattanhoist.Incarnation(now.UnixNano()),
 		joiner:       joiner.New(joiner.Limits{Grace: abandonedRunGrace, Keep: s.Policy().KeepAnswer(), MaxBytes: maxKeptAnswerBytes}),
-		decisions:    recorder.New(recordedRequests),
+		decisions:    recorder.New(maxExplainedRequests),
 		tracker:      newTracker(s, self),
 		engineClient: newEngineClient(),
 		ledgerBase:   now,
 		ledger:       picker.NewLedger(now),
-		life:         newLifeCycle(log),
+		lifecycle:    newLifeCycle(log),
 	}
 	r.ledger.SetRouters(len(s.Processes(loader.KindRouter)))
 	closePeers, err := r.connect()
@@ -120,7 +124,7 @@
 	}
 	r.registerRPC()
 	publishCounters()
-	r.handover, r.hurry = context.WithCancel(context.Background())
+	r.handover, r.cancelHandover = context.WithCancel(context.Background())
 	r.server = &http.Server{
 		Handler: r.handler(), ReadHeaderTimeout: readHeaderTimeout,
 		MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
@@ -129,6 +133,8 @@
 	return r, closePeers, nil
 }
 
+// newLifeCycle returns the state machine of the process: starting, ready,
+// draining.
 func newLifeCycle(log *zap.Logger) *fsm.FSM {
 	return fsm.NewFSM(stateStarting, fsm.Events{
 		{Name: eventReady, Src: []string{stateStarting}, Dst: stateReady},
@@ -138,8 +144,8 @@
 	}})
 }
 
-// Run serves until ctx ends, then drains: requests in progress end, new ones
-// are refused, and unspent rights go back.
+// Run serves until ctx ends and then drains: requests in progress are
+// completed, new ones are refused, and unspent rights are returned.
 func (r *Router) Run(ctx context.Context) error {
 	l, err := net.Listen("tcp", r.self.HTTP())
 	if err != nil {
@@ -147,17 +153,17 @@
 	}
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	if err := r.serveInside(background); err != nil {
+	if err := r.serveInternal(background); err != nil {
 		return err
 	}
 	failed := make(chan error, 1)
 	go r.followConfiguration(background)
-	go repeat(background, expireEvery, r.expire)
-	go repeat(background, runExpiryInterval, r.joiner.Tick)
+	go runEvery(background, expiryInterval, r.expireStale)
+	go runEvery(background, runExpiryInterval, r.joiner.Tick)
 	for _, x := range r.peers.siblings {
 		go r.heartbeatLoop(background, x)
 	}
-	go r.watchKeeper(background)
+	go r.logKeeperReachability(background)
 	go r.gossip.run(background)
 	go func() { failed <- r.server.Serve(l) }()
 	select {
@@ -168,8 +174,8 @@
 	}
 }
 
-// serveInside starts the servers for other processes of the deployment.
-func (r *Router) serveInside(ctx context.Context) error {
+// serveInternal starts the servers for other processes of the deployment.
+func (r *Router) serveInternal(ctx context.Context) error {
 	l, err := net.Listen("tcp", r.self.RPC())
 	if err != nil {
 		return err
@@ -182,7 +188,8 @@
 	return reporter.Serve(ctx, r.self.Debug(), faultCutter(r.settings, r.dialer), &operationsServer{router: r}, r.log)
 }
 
-// faultCutter returns the cutter only where the settings open the fault port.
+// faultCutter returns the cutter that injects network faults, or nil if the
+// settings don't enable the fault port.
 func faultCutter(s *loader.Settings, d *messenger.Dialer) *messenger.Cutter {
 	if !s.Policy().FaultPortEnabled() {
 		return nil
@@ -190,15 +197,16 @@
 	return d.Cutter()
 }
 
-// expire forgets what has not been renewed for long.
-func (r *Router) expire(now time.Time) {
-	r.records.expire(now)
+// expireStale deletes run records, endpoints and ledger entries that have not
+// been renewed in time.
+func (r *Router) expireStale(now time.Time) {
+	r.runRecords.expire(now)
 	r.tracker.Expire(rattanhoist.MomentOf(now))
-	r.ledger.Forget(now, forgetEndpoint)
+	r.ledger.Forget(now, endpointRetention)
 }
 
-// repeat calls f at every interval until ctx ends.
-func repeat(ctx context.Context, interval time.Duration, f func(now time.Time)) {
+// runEvery calls f at every interval until ctx ends.
+func runEvery(ctx context.Context, interval time.Duration, f func(now time.Time)) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
@@ -211,27 +219,28 @@
 	}
 }
 
-// Hurry stops waiting for rights to go back; requests in progress go on. The
-// rights that stay out return once the incarnation is fenced.
-func (r *Router) Hurry() { r.hurry() }
+// SkipHandover stops waiting until rights are returned; requests in progress
+// continue. Rights that are not returned become available again once the
+// incarnation is fenced.
+func (r *Router) Hurry() { r.cancelHandover() }
 
-// drain refuses what is new, also from siblings, and ends once every request
-// and run in progress has its answer. The listener stays open until then, so
-// that a refusal reaches its caller.
+// drain refuses new requests, also from siblings, and returns once every
+// request and run in progress has its answer. The listener stays open until
+// then, so that callers receive the refusal.
 func (r *Router) drain(ctx context.Context) error {
-	_ = r.life.Event(ctx, eventDrain)
+	_ = r.lifecycle.Event(ctx, eventDrain)
 	r.gate.close()
-	time.Sleep(drainNotice)
+	time.Sleep(drainNoticePeriod)
 	ctx, cancel := context.WithTimeout(ctx, r.settings.Policy().DrainTimeout())
 	defer cancel()
 	err := errors.Join(r.gate.wait(ctx), r.server.Shutdown(ctx))
-	give, cancelGive := context.WithTimeout(r.handover, giveBackTimeout)
+	give, cancelGive := context.WithTimeout(r.handover, returnRightsTimeout)
 	defer cancelGive()
-	r.money.GiveBack(give)
+	r.treasurer.GiveBack(give)
 	return err
 }
 
-// endpoint returns an endpoint that is known by name, or nil.
+// endpoint returns a known endpoint by name, or nil.
 func (r *Router) endpoint(service, name string) *rattanhoist.Endpoint {
 	for _, e := range r.tracker.Table().Service(service) {
 		if e.Name() == name {
--- a/router/run.go
+++ b/router/run_model.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// headerStreamID names a run at an engine that can resume it.
+	// headerStreamID names a run at an engine that can resume its stream.
 	headerStreamID = "Stream-Id"
-	// maxResumes bounds the connections after the first of one run.
+	// maxResumes bounds the connections of one run after the first.
 	maxResumes = 3
-	// cancelTimeout bounds the message that frees an engine from a run.
+	// cancelTimeout bounds the request that cancels a run at an engine.
 	cancelTimeout = time.Second
-	// A stream that has begun and sends nothing for a third of the time left,
-	// within these bounds, is taken for broken.
+	// A started stream that sends nothing for a third of the remaining time,
+	// within these limits, is considered broken.
 	minStall      = time.Second
 	maxStall      = 30 * time.Second
 	stallFraction = 3
 )
 
-// errStalled says that a stream sent nothing for too long.
+// errStalled is the cause with which a stalled stream is canceled.
 var errStalled = errors.New("the stream has stalled")
 
 // runModel runs a request at a model engine, always as a stream.
@@ -55,13 +55,13 @@
 	}
 	a := newAssembler(q, run)
 	a.onText = d.recordText
-	err = readWatched(a, resp, q.deadline, cancel)
+	err = readWithStallTimeout(a, resp, q.deadline, cancel)
 	d.cachedTokens = a.usage.cachedTokens()
 	return r.finishModel(ctx, q, e, a, s, err)
 }
 
-// resumeModel goes on with a stream that another router began, from its first
-// byte on.
+// resumeModel takes over a stream that another router started, from its first
+// byte.
 func (r *Router) resumeModel(ctx context.Context, q *request, e *rattanhoist.Endpoint, run *joiner.Run, s joiner.Stream) (*joiner.Answer, error) {
 	if err := run.Begin(s); err != nil {
 		return nil, err
@@ -70,8 +70,9 @@
 	return r.finishModel(ctx, q, e, a, s, r.resume(ctx, q, e, a, s))
 }
 
-// finishModel resumes a broken stream where the engine can. Bytes and digest
-// go on from where they were: it is the same run.
+// finishModel resumes a broken stream if the engine supports it, and cancels
+// the run if that fails. The length and the digest continue across connections,
+// because it is the same run.
 func (r *Router) finishModel(ctx context.Context, q *request, e *rattanhoist.Endpoint, a *assembler, s joiner.Stream, err error) (*joiner.Answer, error) {
 	for try := 0; err != nil && try < maxResumes && ctx.Err() == nil && s.ID != "" && errors.Is(err, ErrIncomplete); try++ {
 		peerCounters.Add("streams_resumed", 1)
@@ -87,6 +88,7 @@
 	return nil, &runError{cause: err, dispatched: true}
 }
 
+// resume connects to a stream again, at the number of bytes received so far.
 func (r *Router) resume(ctx context.Context, q *request, e *rattanhoist.Endpoint, a *assembler, s joiner.Stream) error {
 	c, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -103,16 +105,16 @@
 	if resp.StatusCode != http.StatusOK || resp.Header.Get(headerStreamID) != s.ID {
 		return ErrEndpointStatus
 	}
-	return readWatched(a, resp, q.deadline, cancel)
+	return readWithStallTimeout(a, resp, q.deadline, cancel)
 }
 
 func streamURL(e *rattanhoist.Endpoint, s joiner.Stream) string {
 	return "http://" + e.Address() + "/v1/streams/" + url.PathEscape(s.ID)
 }
 
-// readWatched reads a stream and breaks it off when it stalls, so that it can
-// be resumed, or run elsewhere, while there is time.
-func readWatched(a *assembler, resp *http.Response, deadline time.Time, cancel context.CancelCauseFunc) error {
+// readWithStallTimeout reads a stream and cancels it when it stalls, so that
+// there is time left to resume it or to run the request elsewhere.
+func readWithStallTimeout(a *assembler, resp *http.Response, deadline time.Time, cancel context.CancelCauseFunc) error {
 	bound := func() time.Duration { return min(max(time.Until(deadline)/stallFraction, minStall), maxStall) }
 	var watch *time.Timer
 	a.onEvent = func() {
@@ -130,8 +132,8 @@
 	return a.read(resp.Body)
 }
 
-// cancelStream frees the engine from a run that nobody wants any more. The
-// engine would find out by itself only after its own grace.
+// cancelStream cancels a run at the engine that nobody waits for any more. By
+// itself, the engine would notice only after its own grace period.
 func (r *Router) cancelStream(e *rattanhoist.Endpoint, s joiner.Stream) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
@@ -146,7 +148,8 @@
 	}()
 }
 
-// engineBody sets what the router decides: a stream and a bounded answer.
+// engineBody returns the body for the engine, with streaming and the limit of
+// the answer set by the router.
 func engineBody(q *request) ([]byte, error) {
 	var m map[string]json.RawMessage
 	if err := json.Unmarshal(q.body, &m); err != nil {
--- a/router/run_plain.go
+++ b/router/run_plain.go
@@ -14,15 +14,16 @@
 	"rattanhoist.example/rattanhoist/joiner"
 )
 
-// runPlain runs a call at a plain service. Every status is an answer and is
-// passed on; 502, 503 and 504 of a repeatable call are tried elsewhere first.
+// runPlain runs a call at a plain service. Any status counts as an answer and
+// is passed on, but after 502, 503 and 504 a repeatable call is first tried at
+// other endpoints.
 func (r *Router) runPlain(ctx context.Context, q *request, e *rattanhoist.Endpoint, run *joiner.Run, _ *dispatchStats) (*joiner.Answer, error) {
 	resp, err := r.dispatch(ctx, q, e, q.body)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := r.plainBody(q, resp)
+	body, err := r.readPlainBody(q, resp)
 	if err != nil {
 		return nil, &runError{cause: err, dispatched: true}
 	}
@@ -34,27 +35,28 @@
 	if q.method == http.MethodHead && resp.ContentLength >= 0 {
 		a.Header.Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
 	}
-	if q.repeatable && worthAnother(resp.StatusCode) {
+	if q.repeatable && isRetryableStatus(resp.StatusCode) {
 		return nil, &runError{cause: ErrEndpointStatus, dispatched: true, answer: a, body: body}
 	}
-	return a, accept(run, a, body)
+	return a, appendPlainAnswer(run, a, body)
 }
 
-func worthAnother(status int) bool {
+// isRetryableStatus reports whether another endpoint may answer better.
+func isRetryableStatus(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// accept gives a plain answer to the run.
-func accept(run *joiner.Run, a *joiner.Answer, body []byte) error {
+// appendPlainAnswer appends the body of a plain answer to the run.
+func appendPlainAnswer(run *joiner.Run, a *joiner.Answer, body []byte) error {
 	if err := run.Begin(joiner.Stream{Endpoint: a.Endpoint}); err != nil {
 		return err
 	}
 	return run.Append(0, string(body))
 }
 
-// plainBody reads the whole body. One without a length that ends with its
-// connection can't be told from a fragment, so it is refused.
-func (r *Router) plainBody(q *request, resp *http.Response) ([]byte, error) {
+// readPlainBody reads the whole body. A body that has no length and ends with
+// its connection can't be distinguished from a truncated one, so it is refused.
+func (r *Router) readPlainBody(q *request, resp *http.Response) ([]byte, error) {
 	if id := resp.Header.Get(headerRequestID); id != "" && id != q.key.String() {
 		return nil, ErrWrongRequest
 	}
--- a/router/run_sink.go
+++ b/router/run_sink.go
@@ -2,7 +2,7 @@
 
 import "rattanhoist.example/rattanhoist/joiner"
 
-// runSink takes an answer that another router has into a run of this one.
+// runSink copies an answer from another router into a run of this one.
 type runSink struct {
 	run    *joiner.Run
 	answer *joiner.Answer
--- a/router/serve.go
+++ b/router/serve.go
@@ -11,18 +11,18 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// maxTries bounds the endpoints that one request is sent to.
-const maxTries = 3
+// maxEndpointAttempts bounds the endpoints that one request is sent to.
+const maxEndpointAttempts = 3
 
-// runError says how far a run got before it failed.
+// runError tells how far a run got before it failed.
 type runError struct {
 	cause error
-	// Dispatched reports whether the endpoint may have begun.
+	// dispatched reports whether the endpoint may have started the request.
 	dispatched bool
-	// Final says that another endpoint would answer no better.
+	// final means that no other endpoint would give a better answer.
 	final bool
-	// Answer and body are a plain service's failure, passed on where no other
-	// endpoint does better.
+	// answer and body hold the failure response of a plain service. It is
+	// passed on if no other endpoint gives a better one.
 	answer *joiner.Answer
 	body   []byte
 }
@@ -30,20 +30,20 @@
 func (e *runError) Error() string { return e.cause.Error() }
 func (e *runError) Unwrap() error { return e.cause }
 
-// serve reserves the worst case, runs the request and bills the true count;
-// the answer is complete only then.
-func (r *Router) serve(ctx context.Context, q *request, run *joiner.Run) (*joiner.Answer, error) {
+// serveRequest reserves the largest possible charge, runs the request and bills
+// the actual cost. The answer is complete only when it is billed.
+func (r *Router) serveRequest(ctx context.Context, q *request, run *joiner.Run) (*joiner.Answer, error) {
 	release, err := r.admitTraced(ctx, q)
 	if err != nil {
 		return nil, err
 	}
 	defer release()
-	return r.paid(ctx, q, func() (*joiner.Answer, error) { return r.runSomewhere(ctx, q, run) })
+	return r.withBilling(ctx, q, func() (*joiner.Answer, error) { return r.runWithRetries(ctx, q, run) })
 }
 
-// paid has f produce an answer under a reservation and bills it. What f
-// generated without a whole answer is not billed.
-func (r *Router) paid(ctx context.Context, q *request, f func() (*joiner.Answer, error)) (*joiner.Answer, error) {
+// withBilling calls f under a reservation and bills the answer that it returns.
+// Output that f generated without completing an answer is not billed.
+func (r *Router) withBilling(ctx context.Context, q *request, f func() (*joiner.Answer, error)) (*joiner.Answer, error) {
 	held, err := r.reserveTraced(ctx, q)
 	if err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cost := min(q.cost(a), q.worst)
+	cost := min(q.cost(a), q.maxCharge)
 	if a.Status >= http.StatusInternalServerError {
 		return a, nil
 	}
@@ -69,13 +69,14 @@
 		ChargedAtMs: time.Now().UnixMilli(), Zone: r.self.Zone(),
 	})
 	if err != nil {
-		return nil, &Problem{Status: http.StatusServiceUnavailable, Code: CodeBillingFailed, Outcome: Unknown, Detail: "the answer could not be billed: " + err.Error(), After: retrySoon}
+		return nil, &Problem{Status: http.StatusServiceUnavailable, Code: CodeBillingFailed, Outcome: Unknown, Detail: "the answer could not be billed: " + err.Error(), After: defaultRetryAfter}
 	}
 	return a, nil
 }
 
-// cost is the price of an answer in budget tokens; the checked worst case
-// bounds it, so the products fit. A plain service's failure costs nothing.
+// cost returns the price of an answer in budget tokens. The products can't
+// overflow, because they are bounded by the charge that setLimits checked. The
+// failure of a plain service costs nothing.
 func (q *request) cost(a *joiner.Answer) rattanhoist.Tokens {
 	if q.service.Kind != messenger.ServiceKind_SERVICE_KIND_PLAIN {
 		return rattanhoist.Tokens(q.service.PromptPrice*a.PromptTokens + q.service.AnswerPrice*a.AnswerTokens)
@@ -86,22 +87,22 @@
 	return rattanhoist.Tokens(q.service.CallPrice)
 }
 
-// runSomewhere tries endpoints until one answers. A request that may not be
-// repeated is tried again only when the endpoint provably did not get it, and
-// none is once bytes of an answer have gone to a caller.
-func (r *Router) runSomewhere(ctx context.Context, q *request, run *joiner.Run) (*joiner.Answer, error) {
+// runWithRetries tries endpoints until one answers. A request that may not be
+// repeated is retried only if the endpoint provably did not receive it. No
+// request is retried once a caller has received bytes of an answer.
+func (r *Router) runWithRetries(ctx context.Context, q *request, run *joiner.Run) (*joiner.Answer, error) {
 	tried := map[string]bool{}
 	var last error
-	for len(tried) < maxTries {
+	for len(tried) < maxEndpointAttempts {
 		e, err := r.pick(ctx, q, tried)
 		if err != nil && last != nil {
-			return lastAnswer(run, last)
+			return answerOrError(run, last)
 		}
 		if err != nil {
 			return nil, err
 		}
 		tried[e.Name()] = true
-		a, err := r.runAt(ctx, q, e, run)
+		a, err := r.runAtEndpoint(ctx, q, e, run)
 		if err == nil {
 			return a, nil
 		}
@@ -110,23 +111,25 @@
 		if run.Seen() || ctx.Err() != nil || !errors.As(err, &f) || f.final || f.dispatched && !q.repeatable {
 			return nil, err
 		}
-		if len(tried) < maxTries && !r.allowRetry(ctx, q) {
-			return lastAnswer(run, err)
+		if len(tried) < maxEndpointAttempts && !r.allowRetry(ctx, q) {
+			return answerOrError(run, err)
 		}
 	}
-	return lastAnswer(run, last)
+	return answerOrError(run, last)
 }
 
-func lastAnswer(run *joiner.Run, err error) (*joiner.Answer, error) {
+// answerOrError returns the failure response that the last attempt left, or its
+// error if there is none.
+func answerOrError(run *joiner.Run, err error) (*joiner.Answer, error) {
 	var f *runError
 	if !errors.As(err, &f) || f.answer == nil {
 		return nil, err
 	}
-	return f.answer, accept(run, f.answer, f.body)
+	return f.answer, appendPlainAnswer(run, f.answer, f.body)
 }
 
-// runAt runs the request at one endpoint.
-func (r *Router) runAt(ctx context.Context, q *request, e *rattanhoist.Endpoint, run *joiner.Run) (*joiner.Answer, error) {
+// runAtEndpoint runs the request at one endpoint.
+func (r *Router) runAtEndpoint(ctx context.Context, q *request, e *rattanhoist.Endpoint, run *joiner.Run) (*joiner.Answer, error) {
 	if err := run.Dispatch(); err != nil {
 		return nil, err
 	}
--- a/router/silent_endpoint_test.go
+++ b/router/silent_endpoint_test.go
@@ -12,8 +12,9 @@
 	"github.com/onsi/gomega"
 )
 
-// silentAddress returns an address that takes no connection and refuses none,
-// as that of a VM that is gone: the queue of its listener is full.
+// silentAddress returns an address that neither accepts nor refuses
+// connections, like that of a lost VM: the accept queue of its listener is
+// full.
 func silentAddress(t *testing.T) string {
 	t.Helper()
 	g := gomega.NewWithT(t)
@@ -34,13 +35,11 @@
 	}
 }
 
-// TestSilentEndpointLeavesTimeForAnother
-// Symptom: a request fails at its deadline although other endpoints are idle.
-// Sequence: the VM of an endpoint is lost; a request that picked it before its
-// announcement grew too old dials it and gets neither a connection nor a
-// refusal.
-// Cause: the dial was bounded by nothing but the deadline of the request.
-func TestSilentEndpointLeavesTimeForAnother(t *testing.T) {
+// TestDialTimeoutLeavesTimeForRetry dials the address of a lost VM, as a
+// request does that picked its endpoint before the announcement expired. The
+// dial was bounded by the deadline of the request only, so the request failed
+// at its deadline although other endpoints were idle.
+func TestDialTimeoutLeavesTimeForRetry(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 4*dialTimeout)
 	defer cancel()
--- a/router/sink.go
+++ b/router/sink.go
@@ -15,8 +15,9 @@
 	"rattanhoist.example/rattanhoist/joiner"
 )
 
-// mark is what the router adds to an answer in the ecosystem's shape.
-type mark struct {
+// answerMetadata is the extension that the router adds to answers in the chat
+// completion format.
+type answerMetadata struct {
 	RequestID     string `json:"request_id"`
 	Offset        int64  `json:"offset"`
 	Complete      bool   `json:"complete"`
@@ -26,11 +27,12 @@
 	ChargedTokens int64  `json:"charged_tokens"`
 }
 
+// usage is the token count of an answer.
 type usage struct {
 	PromptTokens     int64 `json:"prompt_tokens"`
 	CompletionTokens int64 `json:"completion_tokens"`
 	TotalTokens      int64 `json:"total_tokens"`
-	// PromptDetails is sent by engines that say what they had cached.
+	// PromptDetails is sent by engines that report cached prompt tokens.
 	PromptDetails *promptDetails `json:"prompt_tokens_details,omitempty"`
 }
 
@@ -38,8 +40,8 @@
 	CachedTokens int64 `json:"cached_tokens"`
 }
 
-// cachedTokens returns how much of the prompt was cached, or -1 where the
-// engine does not say.
+// cachedTokens returns the number of prompt tokens that were cached, or -1 if
+// the engine does not report it.
 func (u *usage) cachedTokens() int64 {
 	if u == nil || u.PromptDetails == nil {
 		return -1
@@ -60,26 +62,27 @@
 }
 
 type completion struct {
-	ID          string   `json:"id"`
-	Object      string   `json:"object"`
-	Created     int64    `json:"created"`
-	Choices     []choice `json:"choices"`
-	Usage       *usage   `json:"usage,omitempty"`
-	Rattanhoist mark     `json:"rattanhoist"`
+	ID          string         `json:"id"`
+	Object      string         `json:"object"`
+	Created     int64          `json:"created"`
+	Choices     []choice       `json:"choices"`
+	Usage       *usage         `json:"usage,omitempty"`
+	Rattanhoist answerMetadata `json:"rattanhoist"`
 }
 
-func finalMark(q *request, a *joiner.Answer) mark {
-	return mark{
+// completionMetadata returns the metadata of a complete answer.
+func completionMetadata(q *request, a *joiner.Answer) answerMetadata {
+	return answerMetadata{
 		RequestID: q.key.RequestID(), Offset: a.Length, Complete: true, Length: a.Length,
 		Digest: a.Digest, Endpoint: a.Endpoint, ChargedTokens: int64(a.Charged),
 	}
 }
 
-func usageOf(a *joiner.Answer) *usage {
+func usageFromAnswer(a *joiner.Answer) *usage {
 	return &usage{PromptTokens: a.PromptTokens, CompletionTokens: a.AnswerTokens, TotalTokens: a.PromptTokens + a.AnswerTokens}
 }
 
-// streamSink writes server-sent events.
+// streamSink writes an answer as server-sent events.
 type streamSink struct {
 	w       http.ResponseWriter
 	request *request
@@ -90,7 +93,7 @@
 
 func (*streamSink) streamed() bool { return true }
 
-func (s *streamSink) event(c completion) error {
+func (s *streamSink) writeEvent(c completion) error {
 	if !s.begun {
 		s.begun = true
 		s.w.Header().Set("Content-Type", "text/event-stream")
@@ -101,40 +104,42 @@
 		return err
 	}
 	if _, err := fmt.Fprintf(s.w, "data: %s\n\n", b); err != nil {
-		return gone(err)
+		return callerGoneError(err)
 	}
-	return gone(http.NewResponseController(s.w).Flush())
+	return callerGoneError(http.NewResponseController(s.w).Flush())
 }
 
-// errCallerGone says that the caller no longer reads.
+// errCallerGone is returned if the caller no longer reads its answer.
 var errCallerGone = merry.Sentinel("the caller has gone")
 
-func gone(err error) error {
+// callerGoneError wraps a write error in errCallerGone.
+func callerGoneError(err error) error {
 	if err == nil {
 		return nil
 	}
 	return merry.Errorf("%w: %s", errCallerGone, err.Error())
 }
 
-func (s *streamSink) base(m mark) completion {
+// newChunk returns an event with the given metadata and no content.
+func (s *streamSink) newChunk(m answerMetadata) completion {
 	return completion{ID: s.request.key.RequestID(), Object: "chat.completion.chunk", Created: time.Now().Unix(), Rattanhoist: m}
 }
 
 func (s *streamSink) chunk(offset int64, text []byte) error {
-	c := s.base(mark{RequestID: s.request.key.RequestID(), Offset: offset})
+	c := s.newChunk(answerMetadata{RequestID: s.request.key.RequestID(), Offset: offset})
 	c.Choices = []choice{{Delta: &message{Content: string(text)}}}
-	return s.event(c)
+	return s.writeEvent(c)
 }
 
 func (s *streamSink) complete(a *joiner.Answer) error {
-	c := s.base(finalMark(s.request, a))
+	c := s.newChunk(completionMetadata(s.request, a))
 	c.Choices = []choice{{Delta: &message{}, FinishReason: &a.FinishReason}}
-	c.Usage = usageOf(a)
-	if err := s.event(c); err != nil {
+	c.Usage = usageFromAnswer(a)
+	if err := s.writeEvent(c); err != nil {
 		return err
 	}
 	_, err := io.WriteString(s.w, "data: [DONE]\n\n")
-	return gone(err)
+	return callerGoneError(err)
 }
 
 func (s *streamSink) fail(p *Problem) {
@@ -142,46 +147,46 @@
 		p.write(s.w)
 		return
 	}
-	p.title()
+	p.setDefaultTitle()
 	b, _ := json.Marshal(map[string]*Problem{"error": p})
 	_, _ = fmt.Fprintf(s.w, "event: error\ndata: %s\n\n", b)
 }
 
-// gatherer keeps the bytes of an answer until it is complete.
-type gatherer struct{ body bytes.Buffer }
+// bodyBuffer holds the bytes of an answer until it is complete.
+type bodyBuffer struct{ body bytes.Buffer }
 
-func (g *gatherer) begin(joiner.Stream) error {
+func (g *bodyBuffer) begin(joiner.Stream) error {
 	g.body.Reset()
 	return nil
 }
 
-func (*gatherer) streamed() bool { return false }
+func (*bodyBuffer) streamed() bool { return false }
 
-func (g *gatherer) chunk(_ int64, text []byte) error {
+func (g *bodyBuffer) chunk(_ int64, text []byte) error {
 	_, err := g.body.Write(text)
 	return err
 }
 
-// wholeSink writes a model's answer once it is complete.
-type wholeSink struct {
-	gatherer
+// jsonSink writes a model's answer as one JSON object once it is complete.
+type jsonSink struct {
+	bodyBuffer
 	w       http.ResponseWriter
 	request *request
 }
 
-func (s *wholeSink) complete(a *joiner.Answer) error {
-	c := completion{ID: s.request.key.RequestID(), Object: "chat.completion", Created: time.Now().Unix(), Rattanhoist: finalMark(s.request, a)}
+func (s *jsonSink) complete(a *joiner.Answer) error {
+	c := completion{ID: s.request.key.RequestID(), Object: "chat.completion", Created: time.Now().Unix(), Rattanhoist: completionMetadata(s.request, a)}
 	c.Choices = []choice{{Message: &message{Role: "assistant", Content: s.body.String()}, FinishReason: &a.FinishReason}}
-	c.Usage = usageOf(a)
+	c.Usage = usageFromAnswer(a)
 	s.w.Header().Set("Content-Type", "application/json")
-	return gone(json.NewEncoder(s.w).Encode(c))
+	return callerGoneError(json.NewEncoder(s.w).Encode(c))
 }
 
-func (s *wholeSink) fail(p *Problem) { p.write(s.w) }
+func (s *jsonSink) fail(p *Problem) { p.write(s.w) }
 
-// plainSink passes a plain service's answer on once it is whole.
+// plainSink writes a plain service's answer once it is complete.
 type plainSink struct {
-	gatherer
+	bodyBuffer
 	w http.ResponseWriter
 }
 
@@ -196,10 +201,10 @@
 	s.w.WriteHeader(a.Status)
 	_, err := s.w.Write(s.body.Bytes())
 	if errors.Is(err, http.ErrBodyNotAllowed) {
-		// The answer to HEAD has a length and no body.
+		// The answer to a HEAD request has a length but no body.
 		return nil
 	}
-	return gone(err)
+	return callerGoneError(err)
 }
 
 func (s *plainSink) fail(p *Problem) { p.write(s.w) }
--- a/router/stream_test.go
+++ b/router/stream_test.go
@@ -23,15 +23,19 @@
 	otherID = `"id":"w/b"`
 )
 
-func piece(id string, offset int, text string) string {
+// markedChunk returns a chunk of an engine that sends offsets.
+func markedChunk(id string, offset int, text string) string {
 	return fmt.Sprintf(`{%s,"offset":%d,"choices":[{"index":0,"delta":{"content":%q}}]}`, id, offset, text)
 }
 
-func plainPiece(id, text string) string {
+// plainChunk returns a chunk without an offset.
+func plainChunk(id, text string) string {
 	return fmt.Sprintf(`{%s,"choices":[{"index":0,"delta":{"content":%q}}]}`, id, text)
 }
 
-func markOf(id, text string) string {
+// completionMarkJSON returns the last chunk of an engine that sends completion
+// marks.
+func completionMarkJSON(id, text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return fmt.Sprintf(`{%s,"offset":%d,"choices":[{"index":0,"delta":{},"finish_reason":"stop"}],"usage":{"prompt_tokens":3,"completion_tokens":2},"length":%d,"digest":%q}`,
 		id, len(text), len(text), hex.EncodeToString(sum[:]))
@@ -42,41 +46,40 @@
 	tokens = `{` + chatID + `,"choices":[],"usage":{"prompt_tokens":3,"completion_tokens":2}}`
 )
 
-// TestWholeIsToldFromFragment
-// Symptom: a fragment, a doubled piece or a piece of another's answer passes
-// as whole.
-// Sequence: each case is one connection of an engine, in events.
-// Cause it guards against: an end, an offset or an id that is taken on trust.
-func TestWholeIsToldFromFragment(t *testing.T) {
-	first, second := piece(ownID, 0, "roof "), piece(ownID, 5, "beam")
+// TestAssemblerRejectsIncompleteAnswers reads one connection of an engine per
+// case, event by event. It guards against an end, an offset or an id that is
+// not verified: a fragment, a repeated chunk or a chunk of another answer would
+// pass as part of a whole answer.
+func TestAssemblerRejectsIncompleteAnswers(t *testing.T) {
+	first, second := markedChunk(ownID, 0, "roof "), markedChunk(ownID, 5, "beam")
 	whole := "roof beam"
 	for name, c := range map[string]struct {
 		events []string
 		want   error
 	}{
-		"marked, whole":                {[]string{first, second, markOf(ownID, whole), doneEvent}, nil},
-		"marked, connection lost late": {[]string{first, second, markOf(ownID, whole)}, nil},
-		"marked, short":                {[]string{first, markOf(ownID, whole), doneEvent}, ErrIncomplete},
+		"marked, whole":                {[]string{first, second, completionMarkJSON(ownID, whole), doneEvent}, nil},
+		"marked, connection lost late": {[]string{first, second, completionMarkJSON(ownID, whole)}, nil},
+		"marked, short":                {[]string{first, completionMarkJSON(ownID, whole), doneEvent}, ErrIncomplete},
 		"marked, without its mark":     {[]string{first, second, doneEvent}, ErrIncomplete},
 		"marked, cut":                  {[]string{first}, ErrIncomplete},
-		"marked, doubled piece":        {[]string{first, first, second, markOf(ownID, whole)}, ErrIncomplete},
-		"marked, lost piece":           {[]string{second, markOf(ownID, whole)}, ErrIncomplete},
-		"marked, wrong digest":         {[]string{first, second, markOf(ownID, "roof tile")}, ErrIncomplete},
-		"marked, text after the mark":  {[]string{first, second, markOf(ownID, whole), piece(ownID, 9, "x")}, ErrIncomplete},
-		"marked, crossed":              {[]string{piece(otherID, 0, "roof ")}, ErrWrongRequest},
-		"marked, crossed piece":        {[]string{first, piece(otherID, 5, "beam")}, ErrWrongRequest},
-		"marked, crossed mark":         {[]string{first, second, markOf(otherID, whole)}, ErrWrongRequest},
-		"marked, piece without offset": {[]string{first, plainPiece(ownID, "beam")}, ErrIncomplete},
+		"marked, doubled piece":        {[]string{first, first, second, completionMarkJSON(ownID, whole)}, ErrIncomplete},
+		"marked, lost piece":           {[]string{second, completionMarkJSON(ownID, whole)}, ErrIncomplete},
+		"marked, wrong digest":         {[]string{first, second, completionMarkJSON(ownID, "roof tile")}, ErrIncomplete},
+		"marked, text after the mark":  {[]string{first, second, completionMarkJSON(ownID, whole), markedChunk(ownID, 9, "x")}, ErrIncomplete},
+		"marked, crossed":              {[]string{markedChunk(otherID, 0, "roof ")}, ErrWrongRequest},
+		"marked, crossed piece":        {[]string{first, markedChunk(otherID, 5, "beam")}, ErrWrongRequest},
+		"marked, crossed mark":         {[]string{first, second, completionMarkJSON(otherID, whole)}, ErrWrongRequest},
+		"marked, piece without offset": {[]string{first, plainChunk(ownID, "beam")}, ErrIncomplete},
 		"engine's error":               {[]string{first, `{"error":{"message":"out of memory"}}`}, ErrEngineFailed},
 		"nothing":                      {nil, ErrIncomplete},
 		"not JSON":                     {[]string{"roof"}, ErrIncomplete},
-		"ordinary, whole":              {[]string{plainPiece(chatID, whole), finish, tokens, doneEvent}, nil},
-		"ordinary, without usage":      {[]string{plainPiece(chatID, whole), finish, doneEvent}, ErrIncomplete},
-		"ordinary, without finish":     {[]string{plainPiece(chatID, whole), tokens, doneEvent}, ErrIncomplete},
-		"ordinary, without last event": {[]string{plainPiece(chatID, whole), finish, tokens}, ErrIncomplete},
-		"ordinary, crossed piece":      {[]string{plainPiece(chatID, "roof "), plainPiece(otherID, "beam"), finish, tokens, doneEvent}, ErrWrongRequest},
-		"ordinary, text after finish":  {[]string{finish, plainPiece(chatID, whole), tokens, doneEvent}, ErrIncomplete},
-		"ordinary, after the end":      {[]string{plainPiece(chatID, whole), finish, tokens, doneEvent, plainPiece(chatID, "x")}, ErrIncomplete},
+		"ordinary, whole":              {[]string{plainChunk(chatID, whole), finish, tokens, doneEvent}, nil},
+		"ordinary, without usage":      {[]string{plainChunk(chatID, whole), finish, doneEvent}, ErrIncomplete},
+		"ordinary, without finish":     {[]string{plainChunk(chatID, whole), tokens, doneEvent}, ErrIncomplete},
+		"ordinary, without last event": {[]string{plainChunk(chatID, whole), finish, tokens}, ErrIncomplete},
+		"ordinary, crossed piece":      {[]string{plainChunk(chatID, "roof "), plainChunk(otherID, "beam"), finish, tokens, doneEvent}, ErrWrongRequest},
+		"ordinary, text after finish":  {[]string{finish, plainChunk(chatID, whole), tokens, doneEvent}, ErrIncomplete},
+		"ordinary, after the end":      {[]string{plainChunk(chatID, whole), finish, tokens, doneEvent, plainChunk(chatID, "x")}, ErrIncomplete},
 		"two choices":                  {[]string{`{` + ownID + `,"offset":0,"choices":[{"index":1,"delta":{"content":"x"}}]}`}, ErrUnsupported},
 		"tool calls":                   {[]string{`{` + ownID + `,"offset":0,"choices":[{"index":0,"delta":{"tool_calls":[{"id":"x"}]}}]}`}, ErrUnsupported},
 	} {
@@ -96,12 +99,10 @@
 	}
 }
 
-// TestAnswerIsBoundedByItsTokens
-// Symptom: the memory of a router grows until it is ended, and with it every
-// other stream.
-// Sequence: an engine ignores max_tokens and sends text for as long as the
-// request's deadline allows.
-// Cause: a run kept whatever an engine sent; only plain answers had a bound.
+// TestAnswerIsBoundedByItsTokens has an engine ignore max_tokens and send text
+// for as long as the request's deadline allows. A run kept whatever an engine
+// sent, because only plain answers had a limit. The router's memory grew until
+// the process was killed, and with it every other stream.
 func TestAnswerIsBoundedByItsTokens(t *testing.T) {
 	const most = 8 * 256
 	for _, id := range []string{ownID, chatID} {
@@ -109,9 +110,9 @@
 			g := gomega.NewWithT(t)
 			a, run := testAssembler()
 			send := func(at, n int) error {
-				event := plainPiece(id, strings.Repeat("x", n))
+				event := plainChunk(id, strings.Repeat("x", n))
 				if id == ownID {
-					event = piece(id, at, strings.Repeat("x", n))
+					event = markedChunk(id, at, strings.Repeat("x", n))
 				}
 				return a.handleData(event)
 			}
@@ -123,12 +124,11 @@
 	}
 }
 
-// TestEndpointsWordsAreBounded
-// Symptom: some thousand failures at one engine take gigabytes at the router.
-// Sequence: an engine reports each failure with a megabyte of text; the text
-// goes into the refusal and into the decisions that are kept for operators.
-// Cause: what an endpoint says of its failures was kept whole.
-func TestEndpointsWordsAreBounded(t *testing.T) {
+// TestEndpointErrorTextIsBounded has an engine report a failure with a megabyte
+// of text, which goes into the refusal and into the decisions that are kept for
+// operators. The text was kept whole, so a few thousand failures of one engine
+// took gigabytes at the router.
+func TestEndpointErrorTextIsBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a, _ := testAssembler()
 	text := strings.Repeat("\u00e9", 1<<17)
@@ -139,7 +139,7 @@
 
 	r := newTestRouter(t)
 	q := &request{key: rattanhoist.NewRequestKey("w", "a")}
-	r.record(q, recorder.Decision{Kind: recorder.Failed, Reason: text})
+	r.recordDecision(q, recorder.Decision{Kind: recorder.Failed, Reason: text})
 	kept := r.decisions.Explain("w", "a")
 	g.Expect(kept).To(gomega.HaveLen(1))
 	g.Expect(len(kept[0].Decision.Reason)).To(gomega.BeNumerically("<", 2048))
@@ -151,40 +151,39 @@
 	return newAssembler(&request{key: k, maxAnswer: 8}, run), run
 }
 
-// keepSink is a sink that keeps what it gets.
-type keepSink struct {
-	text  string
-	whole bool
-	live  bool
+// recordingSink is a sink that records what it receives.
+type recordingSink struct {
+	text      string
+	completed bool
+	live      bool
 }
 
-func (r *keepSink) begin(joiner.Stream) error {
+func (r *recordingSink) begin(joiner.Stream) error {
 	r.text = ""
 	return nil
 }
 
-func (r *keepSink) chunk(_ int64, text []byte) error {
+func (r *recordingSink) chunk(_ int64, text []byte) error {
 	r.text += string(text)
 	return nil
 }
 
-func (r *keepSink) complete(*joiner.Answer) error {
-	r.whole = true
+func (r *recordingSink) complete(*joiner.Answer) error {
+	r.completed = true
 	return nil
 }
 
-func (*keepSink) fail(*Problem)    {}
-func (r *keepSink) streamed() bool { return r.live }
+func (*recordingSink) fail(*Problem)    {}
+func (r *recordingSink) streamed() bool { return r.live }
 
-// TestBytesOfTwoRunsNeverMix
-// Symptom: an answer is pieced together from two runs, or has a piece twice.
-// Sequence: the home is lost after five bytes; the next sends the answer from
-// the start, of the same stream, of another one, or with a gap.
-// Cause it guards against: joining at an offset without asking whose.
-func TestBytesOfTwoRunsNeverMix(t *testing.T) {
+// TestFeedNeverMixesRuns loses the home after five bytes; the next one sends
+// the answer from the start, of the same stream, of another one, or with a gap.
+// It guards against joining at an offset without checking the stream: an answer
+// would be assembled from two runs, or contain a part twice.
+func TestFeedNeverMixesRuns(t *testing.T) {
 	one, two := joiner.Stream{ID: "1", Endpoint: "e"}, joiner.Stream{ID: "2", Endpoint: "e"}
-	start := func(live bool) (*feed, *keepSink) {
-		r := &keepSink{live: live}
+	start := func(live bool) (*feed, *recordingSink) {
+		r := &recordingSink{live: live}
 		f := &feed{sink: r}
 		gomega.NewWithT(t).Expect(f.begin(one)).To(gomega.Succeed())
 		gomega.NewWithT(t).Expect(f.chunk(0, []byte("roof "))).To(gomega.Succeed())
@@ -211,12 +210,11 @@
 	g.Expect(r.text).To(gomega.Equal("tile"))
 }
 
-// TestDigestTellsRequestsApart
-// Symptom: an id that is used again for another request gets the first one's
-// answer.
-// Sequence: requests that differ in one part, or in where a part ends.
-// Cause it guards against: a digest over parts that run into each other.
-func TestDigestTellsRequestsApart(t *testing.T) {
+// TestDigestDistinguishesRequests compares requests that differ in one part, or
+// in where a part ends. It guards against a digest over concatenated parts
+// without separators: an id that is used again for another request would return
+// the first one's answer.
+func TestDigestDistinguishesRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	base := func() *request {
 		return &request{
--- a/router/traced_steps.go
+++ b/router/traced_steps.go
@@ -22,7 +22,7 @@
 	release, err := r.admit(ctx, q)
 	span.End(err)
 	if err == nil {
-		r.record(q, recorder.Decision{Kind: recorder.Admitted, Reason: "service " + q.service.Name + traceSuffix(ctx)})
+		r.recordDecision(q, recorder.Decision{Kind: recorder.Admitted, Reason: "service " + q.service.Name + traceSuffix(ctx)})
 	}
 	return release, err
 }
@@ -40,11 +40,11 @@
 func (r *Router) reserveTraced(ctx context.Context, q *request) (treasurer.Reservation, error) {
 	began := time.Now()
 	ctx, span := tracer.Begin(ctx, tracer.HopReserve)
-	held, err := r.money.Reserve(ctx, q.key.Workspace(), q.worst)
+	held, err := r.treasurer.Reserve(ctx, q.key.Workspace(), q.maxCharge)
 	span.End(err)
 	reserveTime.Observe(time.Since(began))
 	if err == nil {
-		r.record(q, recorder.Decision{Kind: recorder.Reserved, Tokens: q.worst, Reason: "largest charge that the request can cause"})
+		r.recordDecision(q, recorder.Decision{Kind: recorder.Reserved, Tokens: q.maxCharge, Reason: "largest charge that the request can cause"})
 	}
 	return held, err
 }
@@ -54,7 +54,7 @@
 func (r *Router) runTraced(ctx context.Context, q *request, e *rattanhoist.Endpoint, run func(context.Context) (*joiner.Answer, error)) (*joiner.Answer, error) {
 	ctx, span := tracer.Begin(ctx, tracer.HopDispatch)
 	span.Set("endpoint", e.Name())
-	r.record(q, recorder.Decision{Kind: recorder.Dispatched, Endpoint: e.Name()})
+	r.recordDecision(q, recorder.Decision{Kind: recorder.Dispatched, Endpoint: e.Name()})
 	a, err := run(ctx)
 	span.End(err)
 	if err != nil {
@@ -71,7 +71,7 @@
 	span.End(err)
 	billTime.Observe(time.Since(began))
 	if err == nil {
-		r.record(q, recorder.Decision{Kind: recorder.Billed, Endpoint: c.Endpoint, Tokens: n})
+		r.recordDecision(q, recorder.Decision{Kind: recorder.Billed, Endpoint: c.Endpoint, Tokens: n})
 	}
 	return n, err
 }
@@ -81,11 +81,11 @@
 	home := x.process.Name()
 	ctx, span := tracer.Begin(ctx, tracer.HopHome)
 	span.Set("home", home)
-	r.record(q, recorder.Decision{Kind: recorder.HandedOver, Reason: "home router " + home + traceSuffix(ctx)})
+	r.recordDecision(q, recorder.Decision{Kind: recorder.HandedOver, Reason: "home router " + home + traceSuffix(ctx)})
 	err := r.relay(ctx, q, x, f, false)
 	span.End(err)
-	if err != nil && askNext(err) {
-		r.record(q, recorder.Decision{Kind: recorder.Failed, Reason: "home router " + home + ": " + err.Error()})
+	if err != nil && canAskNextRouter(err) {
+		r.recordDecision(q, recorder.Decision{Kind: recorder.Failed, Reason: "home router " + home + ": " + err.Error()})
 	}
 	return err
 }
@@ -104,6 +104,6 @@
 	if !known {
 		reason = "held by another attempt"
 	}
-	r.record(q, recorder.Decision{Kind: recorder.Claimed, Reason: reason + ", asked " + strconv.Itoa(len(c.voters)) + " keepers"})
+	r.recordDecision(q, recorder.Decision{Kind: recorder.Claimed, Reason: reason + ", asked " + strconv.Itoa(len(c.voters)) + " keepers"})
 	return v, row
 }
--- a/router/purse.go
+++ b/router/treasurer.go
@@ -12,8 +12,8 @@
 	"rattanhoist.example/rattanhoist/treasurer"
 )
 
-// newTreasurer returns the router's side of the budgets; the returned
-// function ends it and closes its connections.
+// newTreasurer returns the treasurer, which holds this router's budget rights.
+// The returned function stops it and closes its connections.
 func newTreasurer(s *loader.Settings, self loader.Process, d *messenger.Dialer, conn *grpc.ClientConn, log *zap.Logger) (*treasurer.Treasurer, func(), error) {
 	dial := func(address string) (treasurer.Keeper, func(), error) {
 		c, err := d.Dial(address)
@@ -31,10 +31,11 @@
 		Router: self.Name(), Zone: self.Zone(), Incarnation: rattanhoist.Incarnation(time.Now().UnixNano()),
 		Keeper: own, Dial: dial, Policy: treasurer.DefaultPolicy(), Log: log,
 	}
-	// A bill is kept for twice as long as a run may hold its reservation.
+	// Keepers keep a charge for twice as long as a run may hold its
+	// reservation.
 	o.Policy.RunMost = s.Policy().KeepCharges() / 2
 	closeWitness := func() {}
-	if next, ok := nextKeeper(s, self.Zone()); ok {
+	if next, ok := defaultWitness(s, self.Zone()); ok {
 		k, c, err := dial(next.RPC())
 		if err != nil {
 			closeOwn()
@@ -50,9 +51,9 @@
 	}, nil
 }
 
-// nextKeeper returns the keeper after the zone's own in the order of the
-// settings, the witness until the own keeper names one.
-func nextKeeper(s *loader.Settings, zone string) (loader.Process, bool) {
+// defaultWitness returns the keeper of another zone that follows the zone's own
+// keeper in the settings. It is the witness until the own keeper names one.
+func defaultWitness(s *loader.Settings, zone string) (loader.Process, bool) {
 	all := s.Processes(loader.KindKeeper)
 	for i, p := range all {
 		if p.Zone() != zone {
--- a/router/unread_test.go
+++ b/router/unread_body_test.go
@@ -11,11 +11,12 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Symptom: a caller is told "not run" of a chat that ran. Sequence: a chat of
-// a service whose requests may not be repeated runs, its answer is lost, and
-// the caller sends it again without the header to a router that drains.
-// Cause: only the body tells the service of a chat, and it is not read.
-func TestUnreadChatMayBeNotRepeatable(t *testing.T) {
+// TestUnreadChatMayBeNonRepeatable checks a chat request without the
+// Request-Repeatable header whose body is not read, as in a draining router.
+// Only the body names the service of a chat, and that service may not allow
+// repeats. A caller whose answer was lost and who sent the chat again was told
+// "not run" although it ran.
+func TestUnreadChatMayBeNonRepeatable(t *testing.T) {
 	for _, notRepeatable := range []bool{false, true} {
 		g := gomega.NewWithT(t)
 		r := &Router{}
