--- a/router/router.go
+++ b/router/router.go
@@ -219,7 +219,7 @@
 	}
 }
 
-// SkipHandover stops waiting until rights are returned; requests in progress
+// Hurry stops waiting until rights are returned; requests in progress
 // continue. Rights that are not returned become available again once the
 // incarnation is fenced.
 func (r *Router) Hurry() { r.cancelHandover() }
