--- a/router/run.go
+++ b/router/run_model.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// headerStreamID names a run at an engine that can resume it.
+	// headerStreamID names a run at an engine that can resume its stream.
 	headerStreamID = "Stream-Id"
-	// maxResumes bounds the connections after the first of one run.
+	// maxResumes bounds the connections of one run after the first.
 	maxResumes = 3
-	// cancelTimeout bounds the message that frees an engine from a run.
+	// cancelTimeout bounds the request that cancels a run at an engine.
 	cancelTimeout = time.Second
-	// A stream that has begun and sends nothing for a third of the time left,
-	// within these bounds, is taken for broken.
+	// A started stream that sends nothing for a third of the remaining time,
+	// within these limits, is considered broken.
 	minStall      = time.Second
 	maxStall      = 30 * time.Second
 	stallFraction = 3
 )
 
-// errStalled says that a stream sent nothing for too long.
+// errStalled is the cause with which a stalled stream is canceled.
 var errStalled = errors.New("the stream has stalled")
 
 // runModel runs a request at a model engine, always as a stream.
-func (r *Router) runModel(ctx context.Context, q *request, e *rattanhoist.Endpoint, run *joiner.Run, d *sent) (*joiner.Answer, error) {
+func (r *Router) runModel(ctx context.Context, q *request, e *rattanhoist.Endpoint, run *joiner.Run, d *dispatchStats) (*joiner.Answer, error) {
 	body, err := engineBody(q)
 	if err != nil {
 		return nil, &runError{cause: err, final: true}
@@ -44,24 +44,24 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, refusedBy(resp, q)
+		return nil, statusError(resp, q)
 	}
 	s := joiner.Stream{ID: resp.Header.Get(headerStreamID), Endpoint: e.Name()}
 	if err := run.Begin(s); err != nil {
 		return nil, &runError{cause: err, dispatched: true, final: true}
 	}
 	if s.ID != "" {
-		r.tell(q, s)
+		r.queueRunRecord(q, s)
 	}
 	a := newAssembler(q, run)
-	a.begun = d.text
-	err = readWatched(a, resp, q.deadline, cancel)
-	d.cached = a.usage.cachedTokens()
+	a.onText = d.recordText
+	err = readWithStallTimeout(a, resp, q.deadline, cancel)
+	d.cachedTokens = a.usage.cachedTokens()
 	return r.finishModel(ctx, q, e, a, s, err)
 }
 
-// resumeModel goes on with a stream that another router began, from its first
-// byte on.
+// resumeModel takes over a stream that another router started, from its first
+// byte.
 func (r *Router) resumeModel(ctx context.Context, q *request, e *rattanhoist.Endpoint, run *joiner.Run, s joiner.Stream) (*joiner.Answer, error) {
 	if err := run.Begin(s); err != nil {
 		return nil, err
@@ -70,11 +70,12 @@
 	return r.finishModel(ctx, q, e, a, s, r.resume(ctx, q, e, a, s))
 }
 
-// finishModel resumes a broken stream where the engine can. Bytes and digest
-// go on from where they were: it is the same run.
+// finishModel resumes a broken stream if the engine supports it, and cancels
+// the run if that fails. The length and the digest continue across connections,
+// because it is the same run.
 func (r *Router) finishModel(ctx context.Context, q *request, e *rattanhoist.Endpoint, a *assembler, s joiner.Stream, err error) (*joiner.Answer, error) {
-	for try := 0; err != nil && try < maxResumes && ctx.Err() == nil && s.ID != "" && errors.Is(err, ErrFragment); try++ {
-		homeCounters.Add("streams_resumed", 1)
+	for try := 0; err != nil && try < maxResumes && ctx.Err() == nil && s.ID != "" && errors.Is(err, ErrIncomplete); try++ {
+		peerCounters.Add("streams_resumed", 1)
 		err = r.resume(ctx, q, e, a, s)
 	}
 	if err == nil {
@@ -87,6 +88,7 @@
 	return nil, &runError{cause: err, dispatched: true}
 }
 
+// resume connects to a stream again, at the number of bytes received so far.
 func (r *Router) resume(ctx context.Context, q *request, e *rattanhoist.Endpoint, a *assembler, s joiner.Stream) error {
 	c, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -95,7 +97,7 @@
 		return err
 	}
 	h.Header.Set(headerRequestID, q.key.String())
-	resp, err := r.engines.Do(h)
+	resp, err := r.engineClient.Do(h)
 	if err != nil {
 		return err
 	}
@@ -103,19 +105,19 @@
 	if resp.StatusCode != http.StatusOK || resp.Header.Get(headerStreamID) != s.ID {
 		return ErrEndpointStatus
 	}
-	return readWatched(a, resp, q.deadline, cancel)
+	return readWithStallTimeout(a, resp, q.deadline, cancel)
 }
 
 func streamURL(e *rattanhoist.Endpoint, s joiner.Stream) string {
 	return "http://" + e.Address() + "/v1/streams/" + url.PathEscape(s.ID)
 }
 
-// readWatched reads a stream and breaks it off when it stalls, so that it can
-// be resumed, or run elsewhere, while there is time.
-func readWatched(a *assembler, resp *http.Response, deadline time.Time, cancel context.CancelCauseFunc) error {
+// readWithStallTimeout reads a stream and cancels it when it stalls, so that
+// there is time left to resume it or to run the request elsewhere.
+func readWithStallTimeout(a *assembler, resp *http.Response, deadline time.Time, cancel context.CancelCauseFunc) error {
 	bound := func() time.Duration { return min(max(time.Until(deadline)/stallFraction, minStall), maxStall) }
 	var watch *time.Timer
-	a.progress = func() {
+	a.onEvent = func() {
 		if watch == nil {
 			watch = time.AfterFunc(bound(), func() { cancel(errStalled) })
 			return
@@ -130,8 +132,8 @@
 	return a.read(resp.Body)
 }
 
-// cancelStream frees the engine from a run that nobody wants any more. The
-// engine would find out by itself only after its own grace.
+// cancelStream cancels a run at the engine that nobody waits for any more. By
+// itself, the engine would notice only after its own grace period.
 func (r *Router) cancelStream(e *rattanhoist.Endpoint, s joiner.Stream) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
@@ -140,13 +142,14 @@
 		if err != nil {
 			return
 		}
-		if resp, err := r.engines.Do(h); err == nil {
+		if resp, err := r.engineClient.Do(h); err == nil {
 			_ = resp.Body.Close()
 		}
 	}()
 }
 
-// engineBody sets what the router decides: a stream and a bounded answer.
+// engineBody returns the body for the engine, with streaming and the limit of
+// the answer set by the router.
 func engineBody(q *request) ([]byte, error) {
 	var m map[string]json.RawMessage
 	if err := json.Unmarshal(q.body, &m); err != nil {
