--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -1,6 +1,6 @@
-// Package admitter decides which requests of a service are dispatched now,
-// which wait, and which are refused before they run. Shedders are plug-ins
-// that register themselves under a name.
+// Package admitter implements admission control: it decides which requests of
+// a service are dispatched now, which are queued, and which are rejected before
+// they run. Load shedders are plug-ins that register themselves under a name.
 package admitter
 
 import (
@@ -9,46 +9,49 @@
 	"rattanhoist.example/rattanhoist/registrar"
 )
 
-// Request is what admission knows of a request. Times count from any fixed
-// instant.
+// Request describes a request to admission control. Times are offsets from an
+// arbitrary fixed instant.
 type Request struct {
-	// ID is unique among the requests that wait.
+	// ID is unique among the waiting requests.
 	ID        uint64
 	Workspace string
-	// Priority is 0 (first) to Priorities-1.
+	// Priority ranges from 0 (highest) to Priorities-1.
 	Priority int
 	Deadline time.Duration
-	// Tokens is the expected work; workspaces share the service by it.
+	// Tokens is the expected work, the unit of fair sharing among workspaces.
 	Tokens float64
-	// Service is the expected time from dispatch to the end of the answer.
+	// Service is the expected time from dispatch to the end of the response.
 	Service time.Duration
-	// Least is the shortest time from dispatch to the end that is thinkable;
-	// past Deadline-Least the request can't be met any more.
+	// MinService is the lower bound of the time from dispatch to the end of
+	// the response; a request dispatched after Deadline-MinService is
+	// certain to miss its deadline.
 	Least time.Duration
-	// Random in [0, 1) decides for shedders that shed a share.
+	// RandomValue in [0, 1) is the random draw for shedders that reject a
+	// fraction of the requests.
 	Random float64
 }
 
-// Priorities is the number of priorities.
+// Priorities is the number of priority levels.
 const Priorities = 10
 
-// Forecast is what the state of the service means for a request.
+// Forecast holds the predicted wait of a request and the load of its service.
 type Forecast struct {
-	// Wait is the time until the request would be dispatched.
+	// Wait is the predicted time until the request is dispatched.
 	Wait time.Duration
-	// Fill is the work in progress and waiting by what may be in progress.
+	// Load is the number of requests in progress and waiting, divided by the
+	// concurrency limit.
 	Fill float64
-	// Waiting is how many requests wait already.
+	// Waiting is the number of requests that are already waiting.
 	Waiting int
 }
 
-// Shedder decides whether a request is let in; a refused one is told when to
-// come back. Shed is called under the queue's lock.
+// Shedder decides whether an arriving request is rejected, and after which time
+// its caller may retry. ShouldShed is called while the queue is locked.
 type Shedder interface {
 	Shed(now time.Duration, r Request, f Forecast) (refused bool, after time.Duration)
 }
 
-// Default is the shedder for names that are not registered.
+// Default is the shedder used for names that are not registered.
 const Default = "deadline"
 
 var registry = registrar.New[func() Shedder](Default)
@@ -63,5 +66,5 @@
 	return f(), ok
 }
 
-// Names lists the registered plug-ins in order.
+// Names returns the sorted names of the registered plug-ins.
 func Names() []string { return registry.Names() }
--- a/admitter/admitter_test.go
+++ b/admitter/admitter_test.go
@@ -42,7 +42,7 @@
 	return admitter.Event{Kind: admitter.Arrive, Request: r, InFlight: inFlight, Limit: limit}
 }
 
-// drain starts what waits, one place at a time, and returns the ids.
+// drain starts the waiting requests one at a time and returns their ids.
 func drain(q *admitter.Queue, now time.Duration) (ids []uint64) {
 	for q.Waiting() > 0 {
 		for _, a := range q.Step(now, admitter.Event{Kind: admitter.Tick, Limit: 1}) {
@@ -52,30 +52,29 @@
 	return ids
 }
 
-func TestAdmitsAtOnceWhereThereIsRoom(t *testing.T) {
+func TestStartsImmediatelyBelowLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	out := newQueue("deadline").Step(0, arrive(request(1, "w", 0, 10*time.Second), 0, 1))
 	g.Expect(out).To(gomega.HaveLen(1))
 	g.Expect(out[0].Verdict).To(gomega.Equal(admitter.Start))
 }
 
-func TestRefusesEarlyWithTimeToComeBack(t *testing.T) {
+func TestShedsOnArrivalWithRetryAfter(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := newQueue("deadline")
 	for id := range uint64(5) {
 		g.Expect(q.Step(0, arrive(request(id, "w", 0, time.Minute), 1, 1))).To(gomega.BeEmpty())
 	}
-	// Ahead are five requests of 2 s and half of one in progress: 11 s of
-	// wait and 2 s of service end 3 s after the deadline.
+	// Five requests of 2 s and half of the one in progress are ahead: 11 s of
+	// waiting and 2 s of service end 3 s after the deadline of 10 s.
 	out := q.Step(0, arrive(request(9, "w", 1, 10*time.Second), 1, 1))
 	g.Expect(out).To(gomega.Equal([]admitter.Action{{ID: 9, Verdict: admitter.Shed, After: 3 * time.Second}}))
 	g.Expect(q.Waiting()).To(gomega.Equal(5))
 }
 
-// Symptom: a caller learns at its deadline that its request never began.
-// Sequence: it waits behind others; its deadline comes so near that no
-// endpoint could answer in time; the queue holds it until the deadline.
-// Cause: only the deadline itself is watched.
+// Guards against queueing a request until its deadline although no endpoint
+// could answer in time any more: a queue that checks only the deadline itself
+// tells the caller too late that its request never started.
 func TestExpiredWaitingRequestIsRefusedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := newQueue("deadline")
@@ -90,7 +89,7 @@
 	g.Expect(out[0].After).To(gomega.BeNumerically(">", 0))
 }
 
-func TestPrioritiesGoFirst(t *testing.T) {
+func TestHigherPriorityStartsFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := newQueue("none")
 	for id, p := range []int{5, 3, 9, 0} {
@@ -99,9 +98,8 @@
 	g.Expect(drain(q, 0)).To(gomega.Equal([]uint64{3, 1, 0, 2}))
 }
 
-// Symptom: one workspace's flood keeps the others from being served.
-// Sequence: a workspace queues 60 requests, then two others queue 5 each.
-// Cause: first come, first served over all workspaces.
+// Guards against starvation by first-come, first-served order across
+// workspaces: one workspace queues 60 requests, then two others queue 5 each.
 func TestWorkspacesShareByTokens(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := newQueue("none")
@@ -131,7 +129,7 @@
 	g.Expect(large).To(gomega.BeNumerically("~", 4, 1), "twice the tokens, half the starts")
 }
 
-func TestFullQueueGivesWayToHigherPriority(t *testing.T) {
+func TestFullQueueEvictsLowerPriority(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, _ := admitter.New("none")
 	q := admitter.NewQueue(admitter.Bounds{Waiting: 2, Workspace: 2}, s)
@@ -145,7 +143,7 @@
 	g.Expect(drain(q, 0)[0]).To(gomega.Equal(uint64(4)))
 }
 
-func TestLuckIsNeededOnlyWhenNothingElseWaits(t *testing.T) {
+func TestLikelyLateRequestsAreStartedLast(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := newQueue("none")
 	q.Step(0, arrive(request(1, "w", 0, 3*time.Second), 1, 1))
@@ -153,7 +151,7 @@
 	g.Expect(drain(q, 1500*time.Millisecond)).To(gomega.Equal([]uint64{2, 1}))
 }
 
-func TestLossShedderFollowsFillAndForgets(t *testing.T) {
+func TestLossShedderFollowsLoadAndResets(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, _ := admitter.New("loss")
 	r := request(1, "w", 0, time.Hour)
@@ -167,9 +165,9 @@
 	g.Expect(refused).To(gomega.BeFalse(), "past its validity the share counts for nothing")
 }
 
-// Symptom: an overloaded service gets every failed request again.
-// Sequence: the burst is spent; 100 first tries fail, each wants a retry.
-// Cause: retries bounded for each request and not for the service.
+// Guards against bounding retries per request only and not per service, which
+// sends every failed request to an overloaded service again. The initial credit
+// is spent, then 100 first attempts fail and each asks for a retry.
 func TestRetryBudget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := admitter.NewRetries()
@@ -186,9 +184,9 @@
 	g.Expect(retries).To(gomega.Equal(10))
 }
 
-// TestEveryRequestGetsOneVerdict drives the queue against a simple oracle:
-// each request gets exactly one verdict, none is started past the limit, none
-// expired is started, and bounds hold.
+// TestEveryRequestGetsOneVerdict checks random events against a simple model:
+// each request gets exactly one verdict, no request is started above the limit
+// or after it expired, and the bounds of the queue hold.
 func TestEveryRequestGetsOneVerdict(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, _ := admitter.New(rapid.SampledFrom(admitter.Names()).Draw(t, "shedder"))
@@ -243,11 +241,11 @@
 	})
 }
 
-// Symptom: near its capacity a service refuses requests that all could have
-// been met. Sequence: a large workspace has a request with 1 s left to wait, a
-// small one a request with 6 s. Cause: workspaces share by tokens also while
-// nothing is refused, so the large one waits for its turn.
-func TestShortTimeGoesBeforeTheWorkspacesTurn(t *testing.T) {
+// Guards against rejecting requests near capacity although all deadlines could
+// be met. A large workspace has a request with 1 s of slack and a small one a
+// request with 6 s; if workspaces shared by tokens while nothing is rejected,
+// the large one would wait for its turn and miss its deadline.
+func TestUrgentRequestIsStartedBeforeItsTurn(t *testing.T) {
 	g := gomega.NewWithT(t)
 	order := func(refuse bool) []uint64 {
 		q := newQueue("none")
@@ -264,10 +262,10 @@
 	g.Expect(order(true)).To(gomega.Equal([]uint64{0, 3, 1, 2}), "shared by tokens once one was refused")
 }
 
-// Symptom: a burst of one workspace makes the others wait although nothing is
-// refused. Sequence: 20 requests of one workspace with an hour to go, then one
-// of another. Cause: the earliest deadline first, whatever the time left.
-func TestAmpleTimeWaitsForTheWorkspacesTurn(t *testing.T) {
+// Guards against earliest-deadline-first order regardless of slack, where a burst
+// of one workspace delays the others although nothing is rejected: 20 requests
+// of one workspace with an hour left, then one of another workspace.
+func TestRequestWithSlackWaitsForItsTurn(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := newQueue("none")
 	for id := range uint64(20) {
@@ -277,11 +275,11 @@
 	g.Expect(drain(q, 0)[:2]).To(gomega.ContainElement(uint64(20)))
 }
 
-// Symptom: a service near its capacity refuses requests that would have been
-// met. Sequence: nothing was refused so far; a request arrives whose expected
-// time is 0.5 s too long. Cause: a prediction that errs by a part of the
-// expected time decides for good.
-func TestNearMissIsLetInWhileNoneIsRefused(t *testing.T) {
+// Guards against rejecting requests near capacity that would have met their
+// deadline: nothing was rejected so far, and a request is predicted to be 0.5 s
+// late. Predictions err by a fraction of the service time, so such a prediction
+// must not be final.
+func TestSlightlyLateRequestIsAdmittedWithoutRecentRejection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := newQueue("deadline")
 	near := func(id uint64) []admitter.Action {
--- a/admitter/deadline.go
+++ b/admitter/deadline.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Deadline is the name of the shedder that refuses a request whose predicted
-// finish lies past its deadline.
+// Deadline is the name of the shedder that rejects requests whose predicted
+// completion is after their deadline.
 var Deadline = Register("deadline", func() Shedder { return deadline{} })
 
 type deadline struct{}
 
-// Shed implements Shedder. The time to come back is that by which the backlog
-// will have shrunk enough for the same request to be met.
+// ShouldShed implements Shedder. The retry delay is the predicted lateness:
+// after that time the backlog has shrunk enough for the same request to meet
+// its deadline.
 func (deadline) Shed(now time.Duration, r Request, f Forecast) (bool, time.Duration) {
 	late := now + f.Wait + r.Service - r.Deadline
 	if late <= 0 {
--- a/admitter/loss.go
+++ b/admitter/loss.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// Loss is the name of the shedder that refuses a share of the requests, which
-// it raises while the service is past its target fill and lowers below it.
+// Loss is the name of the shedder that rejects a random fraction of the
+// requests. The fraction grows while the load of the service is above its
+// target and shrinks while it is below.
 var Loss = Register("loss", func() Shedder { return &loss{} })
 
 const (
-	lossTarget = 1.0
-	// lossEvery is the time between two corrections of the share.
-	lossEvery = 500 * time.Millisecond
-	lossGain  = 0.1
-	lossMost  = 0.95
-	// lossValidity is the time after which the share counts for nothing.
+	lossTargetFill = 1.0
+	// lossInterval is the time between two updates of the rejected fraction.
+	lossInterval = 500 * time.Millisecond
+	lossGain     = 0.1
+	maxLossShare = 0.95
+	// lossValidity is the time without an update after which the rejected
+	// fraction is reset to 0.
 	lossValidity = 10 * time.Second
 )
 
 type loss struct {
-	share float64
-	at    time.Duration
+	share     float64
+	updatedAt time.Duration
 }
 
-// Shed implements Shedder.
+// ShouldShed implements Shedder.
 func (l *loss) Shed(now time.Duration, r Request, f Forecast) (bool, time.Duration) {
-	if now-l.at > lossValidity {
+	if now-l.updatedAt > lossValidity {
 		l.share = 0
 	}
-	if now-l.at >= lossEvery {
-		l.share = min(max(l.share+lossGain*(f.Fill-lossTarget), 0), lossMost)
-		l.at = now
+	if now-l.updatedAt >= lossInterval {
+		l.share = min(max(l.share+lossGain*(f.Fill-lossTargetFill), 0), maxLossShare)
+		l.updatedAt = now
 	}
-	return r.Random < l.share, max(f.Wait, lossEvery)
+	return r.Random < l.share, max(f.Wait, lossInterval)
 }
--- a/admitter/none.go
+++ b/admitter/none.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// None is the name of the shedder that refuses nothing.
+// None is the name of the shedder that rejects no request.
 var None = Register("none", func() Shedder { return none{} })
 
 type none struct{}
 
-// Shed implements Shedder.
+// ShouldShed implements Shedder.
 func (none) Shed(time.Duration, Request, Forecast) (bool, time.Duration) { return false, 0 }
--- a/admitter/order.go
+++ b/admitter/order.go
@@ -6,20 +6,23 @@
 )
 
 const (
-	// calmAfter is the time without a refusal after which a priority is
-	// taken to be able to meet all.
-	calmAfter = 2 * time.Second
-	// shortTime is the part of its expected time that a request may have left
-	// to wait for it to go before its workspace's turn. Requests with more
-	// wait for their turn also in calm, which keeps a burst of one workspace
-	// from delaying the others.
-	shortTime = 4
+	// fairSharePeriod is how long after a rejection the workspaces of a
+	// priority share strictly by tokens. Without a rejection for that long,
+	// the service is assumed to be able to meet all deadlines.
+	fairSharePeriod = 2 * time.Second
+	// urgentSlackFactor bounds the slack, as a multiple of the expected
+	// service time, with which a request may be started before its
+	// workspace's turn. Requests with more slack wait for their turn even
+	// when nothing is rejected, so that a burst of one workspace doesn't
+	// delay the others.
+	urgentSlackFactor = 4
 )
 
-// shortest finds the request with the least time left to wait among those
-// whose time grows short, nil where there is none or not all can be met.
-func (c *class) shortest(now time.Duration, fits func(Request) bool) (best *flow, at int) {
-	if now < c.calmFrom {
+// mostUrgent returns the flow and index of the accepted request with the least
+// slack. The flow is nil if no request is urgent or if the workspaces share
+// strictly because of a recent rejection.
+func (c *class) mostUrgent(now time.Duration, fits func(Request) bool) (best *flow, at int) {
+	if now < c.fairShareUntil {
 		return nil, 0
 	}
 	var least time.Duration
@@ -30,15 +33,16 @@
 		}
 		r := w.requests[i]
 		left := r.Deadline - r.Service - now
-		if left <= shortTime*r.Service && (best == nil || left < least) {
+		if left <= urgentSlackFactor*r.Service && (best == nil || left < least) {
 			best, at, least = w, i, left
 		}
 	}
 	return best, at
 }
 
-// fairest finds the first request of the workspace whose turn it is.
-func (c *class) fairest(fits func(Request) bool) (best *flow, at int) {
+// nextInTurn returns the flow with the lowest pass that has an accepted request,
+// and the index of its first one.
+func (c *class) nextInTurn(fits func(Request) bool) (best *flow, at int) {
 	for _, w := range c.flows {
 		i := slices.IndexFunc(w.requests, fits)
 		if i >= 0 && (best == nil || w.pass < best.pass) {
@@ -48,13 +52,14 @@
 	return best, at
 }
 
-// shed asks the shedder about an arriving request. While none is refused, the
-// shortest thinkable time decides: the prediction errs to both sides, and one
-// that was let in wrongly is refused as soon as its time has gone, while one
-// that was refused wrongly is lost.
-func (q *Queue) shed(now time.Duration, r Request, f Forecast) (bool, time.Duration) {
+// shouldShed asks the shedder whether to reject an arriving request. If nothing
+// was rejected recently, a request is rejected only if it would be late even
+// with its minimum service time. Predictions err in both directions, and a
+// request admitted by mistake still expires in the queue, whereas one rejected
+// by mistake is lost.
+func (q *Queue) shouldShed(now time.Duration, r Request, f Forecast) (bool, time.Duration) {
 	refused, after := q.shedder.Shed(now, r, f)
-	if refused && now >= q.classes[r.Priority].calmFrom {
+	if refused && now >= q.classes[r.Priority].fairShareUntil {
 		r.Service = r.Least
 		refused, _ = q.shedder.Shed(now, r, f)
 	}
--- a/admitter/queue.go
+++ b/admitter/queue.go
@@ -6,114 +6,118 @@
 	"time"
 )
 
-// Kind tells events apart.
+// Kind is the type of an Event.
 type Kind int
 
 // Kinds of events.
 const (
-	// Arrive brings a request.
+	// Arrive adds a request.
 	Arrive Kind = iota
-	// Cancel takes a waiting request out; its caller has gone.
+	// Cancel removes a waiting request whose caller has gone.
 	Cancel
-	// Tick brings nothing but the time and the room.
+	// Tick only updates the time, the requests in progress and the limit.
 	Tick
 )
 
-// Event is one input of the queue.
+// Event is an input of the queue.
 type Event struct {
 	Kind    Kind
 	Request Request
-	// InFlight is the number of requests in progress, without the waiting.
+	// InFlight is the number of requests in progress, excluding waiting ones.
 	InFlight int
-	// Limit is how many may be in progress.
+	// Limit is the maximum number of requests in progress.
 	Limit int
 }
 
-// Verdict says what becomes of a request.
+// Verdict is the admission decision on a request.
 type Verdict int
 
 // Verdicts on a request.
 const (
-	// Start lets the request be dispatched now.
+	// Start means that the request is to be dispatched now.
 	Start Verdict = iota
-	// Shed says that the predicted finish lies past the deadline.
+	// Shed means that the shedder rejected the request on arrival, or that
+	// its deadline could not be met any more.
 	Shed
-	// Full says that the queue's bounds are reached.
+	// Full means that the request was rejected or evicted because the queue
+	// reached its bounds.
 	Full
-	// Expired says that the request waited and can't be met any more.
+	// Expired means that the request waited until its deadline could not be
+	// met any more.
 	Expired
 )
 
-// Action is one output of the queue.
+// Action is an output of the queue: the verdict on one request.
 type Action struct {
 	ID      uint64
 	Verdict Verdict
-	// After is the time after which a refused request may come back.
+	// RetryAfter is the time after which a rejected request may be retried.
 	After time.Duration
 }
 
-// Bounds of a queue.
+// Bounds limits the length of a queue.
 type Bounds struct {
-	// Waiting bounds the requests that wait, of all workspaces.
+	// MaxWaiting is the maximum number of waiting requests of all workspaces.
 	Waiting int
-	// Workspace bounds those of one workspace.
+	// Workspace is the maximum number of waiting requests of one workspace.
 	Workspace int
 }
 
-// DefaultBounds suit one service on one router.
+// DefaultBounds are the bounds for one service on one router.
 var DefaultBounds = Bounds{Waiting: 256, Workspace: 128}
 
-// leastAfter is the shortest time to come back.
-const leastAfter = 100 * time.Millisecond
-
-// Queue holds the waiting requests of one service on one router. Priorities
-// go strictly first; within one the workspaces share by tokens (stride
-// scheduling); within a workspace the earliest deadline goes first. While no
-// request of a priority is refused, those whose time grows short go first of
-// whichever workspace: who gets less is to be decided only where not all can
-// be met. It is a
-// state machine: not safe for concurrent use, without clock and randomness of
-// its own.
+// minRetryAfter is the lower bound of Action.RetryAfter.
+const minRetryAfter = 100 * time.Millisecond
+
+// Queue holds the waiting requests of one service on one router. Priorities are
+// strict. Within a priority, workspaces share by tokens (stride scheduling);
+// within a workspace, the earliest deadline goes first. As long as no request
+// of a priority is rejected, urgent requests of any workspace go first, because
+// fair sharing matters only when not all deadlines can be met.
+//
+// Queue is a deterministic state machine without a clock or a source of
+// randomness. It is not safe for concurrent use.
 type Queue struct {
 	bounds  Bounds
 	shedder Shedder
 	classes [Priorities]class
 	waiting int
-	// Earliest is a time before which no waiting request expires.
-	earliest time.Duration
-	// Out is reused between steps.
-	out []Action
+	// earliestExpiry is a time before which no waiting request expires.
+	earliestExpiry time.Duration
+	// actions is reused between steps.
+	actions []Action
 }
 
 // class holds the requests of one priority.
 type class struct {
-	// Flows are those with requests, in order of their workspaces.
+	// flows holds the non-empty flows, sorted by workspace.
 	flows []*flow
-	// Pass is that of the flow served last; a flow that comes back starts
-	// from it, so that idle time earns nothing.
+	// pass is the virtual time of the class, at least that of the flow served
+	// last. A new flow starts from it, so that idle time earns no credit.
 	pass float64
-	// CalmFrom is the time from which nothing has been refused for long
-	// enough to take it that all can be met.
-	calmFrom time.Duration
+	// fairShareUntil is the time until which the workspaces share strictly by
+	// tokens, fairSharePeriod after the last rejection.
+	fairShareUntil time.Duration
 }
 
 // flow holds the requests of one workspace in one priority.
 type flow struct {
 	workspace string
 	pass      float64
-	// Requests are in order of their deadlines; never empty.
+	// requests is sorted by deadline and never empty between steps.
 	requests []Request
 }
 
 // NewQueue returns an empty queue.
 func NewQueue(b Bounds, s Shedder) *Queue { return &Queue{bounds: b, shedder: s} }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// Step takes an event in. The actions are valid until the next step.
+// Step applies an event and returns the resulting actions, which are valid until
+// the next step.
 func (q *Queue) Step(now time.Duration, e Event) []Action {
-	q.out = q.out[:0]
+	q.actions = q.actions[:0]
 	q.expire(now)
 	switch e.Kind {
 	case Arrive:
@@ -121,18 +125,20 @@
 	case Cancel:
 		q.cancel(e.Request)
 	}
-	q.start(now, e)
-	return q.out
+	q.startRequests(now, e)
+	return q.actions
 }
 
-// NextExpiry returns a time up to which no waiting request needs refusing for
-// its deadline.
-func (q *Queue) NextExpiry() (at time.Duration, ok bool) { return q.earliest, q.waiting > 0 }
+// NextExpiry returns a time up to which no waiting request expires, and false if
+// no request waits.
+func (q *Queue) NextExpiry() (at time.Duration, ok bool) { return q.earliestExpiry, q.waiting > 0 }
 
-// expiry is the last time at which a start could still be in time.
-func (r Request) expiry() time.Duration { return r.Deadline - r.Least }
+// latestStart returns the latest dispatch time at which the request can still
+// meet its deadline.
+func (r Request) latestStart() time.Duration { return r.Deadline - r.Least }
 
-func (q *Queue) each(f func(Request)) {
+// forEach calls f for every waiting request.
+func (q *Queue) forEach(f func(Request)) {
 	for p := range q.classes {
 		for _, w := range q.classes[p].flows {
 			for _, r := range w.requests {
@@ -142,28 +148,29 @@
 	}
 }
 
-func (q *Queue) say(id uint64, v Verdict, after time.Duration) {
-	q.out = append(q.out, Action{ID: id, Verdict: v, After: max(after, leastAfter)})
+func (q *Queue) emit(id uint64, v Verdict, after time.Duration) {
+	q.actions = append(q.actions, Action{ID: id, Verdict: v, After: max(after, minRetryAfter)})
 }
 
-// refuse says that a request is refused, and has its priority share by
-// workspaces for a while.
+// refuse rejects a request and starts a period in which the workspaces of its
+// priority share strictly by tokens.
 func (q *Queue) refuse(now time.Duration, r Request, v Verdict, after time.Duration) {
-	q.classes[r.Priority].calmFrom = now + calmAfter
-	q.say(r.ID, v, after)
+	q.classes[r.Priority].fairShareUntil = now + fairSharePeriod
+	q.emit(r.ID, v, after)
 }
 
-// expire refuses what can't be met any more, at once: held back until its
-// deadline, a caller would learn too late to try elsewhere.
+// expire rejects the waiting requests that can't meet their deadline any more.
+// It doesn't wait for the deadline itself, so that callers have time to try
+// elsewhere.
 func (q *Queue) expire(now time.Duration) {
-	if q.waiting == 0 || now <= q.earliest {
+	if q.waiting == 0 || now <= q.earliestExpiry {
 		return
 	}
 	for p := range q.classes {
 		c := &q.classes[p]
 		for _, w := range c.flows {
 			w.requests = slices.DeleteFunc(w.requests, func(r Request) bool {
-				if now <= r.expiry() {
+				if now <= r.latestStart() {
 					return false
 				}
 				q.waiting--
@@ -171,37 +178,37 @@
 				return true
 			})
 		}
-		c.drop()
+		c.removeEmptyFlows()
 	}
-	q.earliest = 1<<63 - 1
-	q.each(func(r Request) { q.earliest = min(q.earliest, r.expiry()) })
+	q.earliestExpiry = 1<<63 - 1
+	q.forEach(func(r Request) { q.earliestExpiry = min(q.earliestExpiry, r.latestStart()) })
 }
 
-// drop takes out flows without requests.
-func (c *class) drop() {
+// removeEmptyFlows removes the flows without requests.
+func (c *class) removeEmptyFlows() {
 	c.flows = slices.DeleteFunc(c.flows, func(w *flow) bool { return len(w.requests) == 0 })
 }
 
 func (q *Queue) arrive(now time.Duration, e Event) {
 	r := e.Request
 	r.Priority = min(max(r.Priority, 0), Priorities-1)
-	if now > r.expiry() {
+	if now > r.latestStart() {
 		q.refuse(now, r, Shed, r.Service)
 		return
 	}
 	f := q.forecast(r, e)
-	if refused, after := q.shed(now, r, f); refused {
+	if refused, after := q.shouldShed(now, r, f); refused {
 		q.refuse(now, r, Shed, after)
 		return
 	}
-	if q.waiting >= q.bounds.Waiting && !q.makeRoom(now, r.Priority, f.Wait) || q.backlog(r.Workspace) >= q.bounds.Workspace {
+	if q.waiting >= q.bounds.Waiting && !q.evictLowerPriority(now, r.Priority, f.Wait) || q.backlog(r.Workspace) >= q.bounds.Workspace {
 		q.refuse(now, r, Full, f.Wait)
 		return
 	}
-	q.put(r)
+	q.insert(r)
 }
 
-func (q *Queue) put(r Request) {
+func (q *Queue) insert(r Request) {
 	c := &q.classes[r.Priority]
 	i, ok := slices.BinarySearchFunc(c.flows, r.Workspace, func(w *flow, name string) int { return cmp.Compare(w.workspace, name) })
 	if !ok {
@@ -215,14 +222,16 @@
 		return 1
 	})
 	w.requests = slices.Insert(w.requests, j, r)
-	if q.waiting == 0 || r.expiry() < q.earliest {
-		q.earliest = r.expiry()
+	if q.waiting == 0 || r.latestStart() < q.earliestExpiry {
+		q.earliestExpiry = r.latestStart()
 	}
 	q.waiting++
 }
 
-// makeRoom refuses the last request of the longest flow of a lower priority.
-func (q *Queue) makeRoom(now time.Duration, priority int, wait time.Duration) bool {
+// evictLowerPriority makes room for a request by rejecting the request with the
+// latest deadline from the longest flow of the lowest non-empty priority. It
+// returns false if no request of a lower priority than the given one waits.
+func (q *Queue) evictLowerPriority(now time.Duration, priority int, wait time.Duration) bool {
 	for p := Priorities - 1; p > priority; p-- {
 		c := &q.classes[p]
 		if len(c.flows) == 0 {
@@ -233,12 +242,13 @@
 		q.refuse(now, w.requests[last], Full, wait)
 		w.requests = w.requests[:last]
 		q.waiting--
-		c.drop()
+		c.removeEmptyFlows()
 		return true
 	}
 	return false
 }
 
+// backlog returns the number of waiting requests of a workspace.
 func (q *Queue) backlog(workspace string) int {
 	n := 0
 	for p := range q.classes {
@@ -259,66 +269,68 @@
 			w.requests = slices.DeleteFunc(w.requests, func(x Request) bool { return x.ID == r.ID })
 			q.waiting -= before - len(w.requests)
 		}
-		c.drop()
+		c.removeEmptyFlows()
 	}
 }
 
-// start lets requests go while there is room.
-func (q *Queue) start(now time.Duration, e Event) {
+// startRequests starts waiting requests until the limit is reached.
+func (q *Queue) startRequests(now time.Duration, e Event) {
 	for n := e.InFlight; n < e.Limit && q.waiting > 0; n++ {
-		q.say(q.next(now).ID, Start, 0)
+		q.emit(q.next(now).ID, Start, 0)
 	}
 }
 
-// next takes the request that goes next. One that would need luck to be in
-// time goes only when none waits that would not.
+// next removes and returns the request to start next. Requests that are expected
+// to miss their deadline are considered only if all waiting ones are.
 func (q *Queue) next(now time.Duration) Request {
-	r, ok := q.nextOf(now, func(r Request) bool { return now+r.Service <= r.Deadline })
+	r, ok := q.nextMatching(now, func(r Request) bool { return now+r.Service <= r.Deadline })
 	if !ok {
-		r, _ = q.nextOf(now, func(Request) bool { return true })
+		r, _ = q.nextMatching(now, func(Request) bool { return true })
 	}
 	return r
 }
 
-func (q *Queue) nextOf(now time.Duration, fits func(Request) bool) (Request, bool) {
+// nextMatching removes and returns the next request that fits accepts.
+func (q *Queue) nextMatching(now time.Duration, fits func(Request) bool) (Request, bool) {
 	for p := range q.classes {
 		c := &q.classes[p]
-		if w, at := c.shortest(now, fits); w != nil {
-			return q.advance(c, w, at), true
+		if w, at := c.mostUrgent(now, fits); w != nil {
+			return q.takeUncharged(c, w, at), true
 		}
-		if w, at := c.fairest(fits); w != nil {
-			return q.take(c, w, at), true
+		if w, at := c.nextInTurn(fits); w != nil {
+			return q.takeCharged(c, w, at), true
 		}
 	}
 	return Request{}, false
 }
 
-// take removes a request of a flow and charges the flow for it.
-func (q *Queue) take(c *class, w *flow, i int) Request {
+// takeCharged removes a request from a flow and adds its tokens to the pass of
+// the flow.
+func (q *Queue) takeCharged(c *class, w *flow, i int) Request {
 	c.pass = w.pass
 	w.pass += max(w.requests[i].Tokens, 1)
-	return q.advance(c, w, i)
+	return q.takeUncharged(c, w, i)
 }
 
-// advance removes a request that goes before its workspace's turn. The flow is
-// not charged: a debt from a time when all were met would keep the workspace
-// out when that time is over.
-func (q *Queue) advance(c *class, w *flow, i int) Request {
+// takeUncharged removes a request that is started before its workspace's turn.
+// The flow is not charged: a debt from a time when all deadlines were met would
+// starve the workspace once they can't be.
+func (q *Queue) takeUncharged(c *class, w *flow, i int) Request {
 	r := w.requests[i]
 	w.requests = slices.Delete(w.requests, i, i+1)
 	q.waiting--
 	if len(w.requests) == 0 {
-		c.retire(w)
+		c.removeEmptied(w)
 	}
 	return r
 }
 
-// retire takes an emptied flow out. Its debt goes with it, but for the class's
-// pass, which never falls: a workspace that sends one request at a time gets
-// its turn behind those that wait.
-func (c *class) retire(w *flow) {
+// removeEmptied removes a flow that has become empty and discards its pass. The
+// pass of the class never decreases, so a workspace that sends one request at a
+// time gets its turn after those that already wait.
+func (c *class) removeEmptied(w *flow) {
 	c.pass = max(c.pass, minPass(c.flows, w.pass))
-	c.drop()
+	c.removeEmptyFlows()
 }
 
 func minPass(flows []*flow, otherwise float64) float64 {
@@ -331,53 +343,57 @@
 	return least
 }
 
-// forecast predicts the wait of an arriving request: the work that will be
-// served before it, by the number of requests that are served at once.
+// forecast predicts the wait of an arriving request: the service time of the
+// requests ahead of it, divided by the number of requests served concurrently.
 func (q *Queue) forecast(r Request, e Event) Forecast {
 	limit := max(e.Limit, 1)
 	f := Forecast{Waiting: q.waiting, Fill: float64(e.InFlight+q.waiting) / float64(limit)}
 	if e.InFlight < e.Limit && q.waiting == 0 {
 		return f
 	}
-	ahead := q.ahead(r)
-	// Requests in progress are halfway through on average: the first to end
-	// frees its place after a service time by twice their number.
+	ahead := q.serviceAhead(r)
+	// Requests in progress are halfway through on average, so the first place
+	// becomes free after Service/(2*limit).
 	f.Wait = (ahead + r.Service/2) / time.Duration(limit)
 	return f
 }
 
-// ahead sums the service times of the waiting requests that go before r.
-func (q *Queue) ahead(r Request) time.Duration {
+// serviceAhead returns the total service time of the waiting requests that are
+// expected to start before r.
+func (q *Queue) serviceAhead(r Request) time.Duration {
 	var sum time.Duration
 	for p := range r.Priority {
-		sum += q.classes[p].total()
+		sum += q.classes[p].totalService()
 	}
 	c := &q.classes[r.Priority]
 	var own time.Duration
 	for _, w := range c.flows {
 		if w.workspace == r.Workspace {
-			own = w.before(r.Deadline)
+			own = w.serviceUntil(r.Deadline)
 		}
 	}
 	sum += own
-	// While the own backlog is served, every other workspace gets as much.
+	// While the workspace's own backlog is served, every other workspace gets
+	// the same amount of service.
 	for _, w := range c.flows {
 		if w.workspace != r.Workspace {
-			sum += min(w.before(1<<62), own+r.Service)
+			sum += min(w.serviceUntil(1<<62), own+r.Service)
 		}
 	}
 	return sum
 }
 
-func (c *class) total() time.Duration {
+func (c *class) totalService() time.Duration {
 	var sum time.Duration
 	for _, w := range c.flows {
-		sum += w.before(1 << 62)
+		sum += w.serviceUntil(1 << 62)
 	}
 	return sum
 }
 
-func (w *flow) before(deadline time.Duration) time.Duration {
+// serviceUntil returns the total service time of the requests with at most the
+// given deadline.
+func (w *flow) serviceUntil(deadline time.Duration) time.Duration {
 	var sum time.Duration
 	for _, r := range w.requests {
 		if r.Deadline <= deadline {
--- a/admitter/retries.go
+++ b/admitter/retries.go
@@ -3,47 +3,49 @@
 import "sync/atomic"
 
 const (
-	// retryShare is how many retries each hundred first tries allow.
-	retryShare = 10
-	// retryCost is a retry in the units of retryShare.
-	retryCost = 100
-	// retryBurst bounds what is saved up; a service that has just begun may
-	// spend it.
-	retryBurst = 10 * retryCost
+	// creditPerRequest is the credit earned by a first attempt: with
+	// creditPerRetry = 100, it is the retries allowed per 100 first attempts.
+	creditPerRequest = 10
+	// creditPerRetry is the credit spent by a retry.
+	creditPerRetry = 100
+	// maxRetryCredit is the maximum credit of a budget and the initial credit
+	// of a new one.
+	maxRetryCredit = 10 * creditPerRetry
 )
 
-// Retries is the retry budget of one service: first tries pay in, retries
-// draw. Without it, an overloaded service that fails requests would get each
-// of them again, and so more load the worse it does. The zero value is empty;
-// NewRetries returns a full one. Safe for concurrent use.
-type Retries struct{ units atomic.Int64 }
+// Retries is the retry budget of one service: first attempts earn credit,
+// retries spend it. Without it, an overloaded service would get every failed
+// request again, so that its load grows with its failures. The zero value has no
+// credit; NewRetries returns a full budget. Retries is safe for concurrent use.
+type Retries struct{ credit atomic.Int64 }
 
-// NewRetries returns a budget that holds its burst.
+// NewRetries returns a budget with the maximum credit.
 func NewRetries() *Retries {
 	r := &Retries{}
-	r.units.Store(retryBurst)
+	r.credit.Store(maxRetryCredit)
 	return r
 }
 
-// First notes a first try.
+// RecordRequest earns credit for a first attempt.
 func (r *Retries) First() {
 	for {
-		u := r.units.Load()
-		next := min(u+retryShare, retryBurst)
-		if next == u || r.units.CompareAndSwap(u, next) {
+		u := r.credit.Load()
+		next := min(u+creditPerRequest, maxRetryCredit)
+		if next == u || r.credit.CompareAndSwap(u, next) {
 			return
 		}
 	}
 }
 
-// Retry draws one retry; false says that the budget is spent.
+// AllowRetry spends the credit of one retry, or returns false if the budget is
+// exhausted.
 func (r *Retries) Retry() bool {
 	for {
-		u := r.units.Load()
-		if u < retryCost {
+		u := r.credit.Load()
+		if u < creditPerRetry {
 			return false
 		}
-		if r.units.CompareAndSwap(u, u-retryCost) {
+		if r.credit.CompareAndSwap(u, u-creditPerRetry) {
 			return true
 		}
 	}
