--- a/picker/deadline.go
+++ b/picker/deadline.go
@@ -1,26 +1,29 @@
 package picker
 
-// Deadline is the name of the product's own picker: endpoints that are
-// predicted to finish within the deadline go first; among them the one whose
-// predicted time, reuse of a cached prefix included, is the shortest.
+// Deadline is the name of the default picker. It prefers endpoints that are
+// predicted to finish within the deadline, and among them the one with the
+// lowest predicted time, including the benefit of a cached prefix.
 var Deadline = Register("deadline", func() Picker { return deadline{} })
 
 const (
-	// scanAll is the largest set that is looked at whole; larger ones are
-	// sampled, which bounds the cost and keeps routers with the same view
-	// from choosing the same endpoint.
-	scanAll      = 4
-	sampleLocal  = 2
-	sampleOthers = 1
-	// reuseWeight weighs a reused prefix above the time it saves the request:
-	// the prompt that is not read again leaves room in the batch for others.
+	// maxFullScan is the largest set of which all candidates are compared.
+	// Larger ones are sampled, which bounds the cost and keeps routers with
+	// the same view from choosing the same endpoint.
+	maxFullScan   = 4
+	localSamples  = 2
+	remoteSamples = 1
+	// reuseWeight multiplies the time that a cached prefix saves. It is above
+	// 1 because skipping the prefill also frees batch capacity for other
+	// requests.
 	reuseWeight = 4.0
-	// crossZone is the time another zone must save to be preferred.
-	crossZone = 0.02
-	// crowding is how much longer a request takes in a full batch than in an
-	// empty one, beyond what was learned: learned times come from the usual
-	// fill. Counted whole once more, it outweighs the reuse of a prefix.
-	crowding = 0.3
+	// crossZonePenalty is the time in seconds that an endpoint of another zone
+	// must save to be preferred.
+	crossZonePenalty = 0.02
+	// fullBatchSlowdown is the relative slowdown of decoding in a full batch
+	// compared with an empty one, on top of the learned times, which reflect
+	// the usual batch size. A value that counts the whole slowdown again
+	// outweighs the reuse of a prefix.
+	fullBatchSlowdown = 0.3
 )
 
 type deadline struct{}
@@ -31,13 +34,13 @@
 	p := prediction{q: &q, s: s, now: now, best: -1}
 	p.prepare()
 	n := len(s.candidates)
-	if n <= scanAll {
+	if n <= maxFullScan {
 		p.scan(int(q.Seed>>32), 0, n)
 	} else {
 		p.sample()
 	}
 	if p.best < 0 {
-		return s.lastResort(&q, now)
+		return s.fallback(&q, now)
 	}
 	return p.best
 }
@@ -47,29 +50,31 @@
 	q   *Query
 	s   *Set
 	now instant
-	// Answer is the expected length; the times are in seconds.
-	answer, prompt, tokenTime, prefillTime, left float64
-	owners                                       [prefixWays]uint32
-	best                                         int
-	bestCost                                     float64
-	bestMeets                                    bool
-	// Paced says that the service's answers tell the time of a token.
-	paced bool
+	// answer and prompt are lengths in tokens; the times are in seconds.
+	answer, prompt, tokenTime, prefillTime, timeLeft float64
+	prefixHolders                                    [prefixWays]uint32
+	best                                             int
+	bestCost                                         float64
+	bestMeets                                        bool
+	// tokenTimeKnown reports whether the time per token of the service was
+	// learned.
+	tokenTimeKnown bool
 }
 
+// prepare sets the inputs of the prediction that are the same for all candidates.
 func (p *prediction) prepare() {
 	v := p.s.service
 	p.answer = v.AnswerTokens(p.q.MaxAnswer)
 	p.prompt = float64(p.q.PromptTokens)
 	p.tokenTime = v.TokenTime()
-	p.paced = v.tokenTime.known()
+	p.tokenTimeKnown = v.tokenTime.hasSamples()
 	p.prefillTime = v.PrefillTime()
-	p.left = p.q.Deadline.Sub(p.q.Now).Seconds()
-	p.owners = p.s.ledger.prefixes.owners(p.q.Prefix, p.now.Duration)
+	p.timeLeft = p.q.Deadline.Sub(p.q.Now).Seconds()
+	p.prefixHolders = p.s.ledger.prefixes.holders(p.q.Prefix, p.now.Duration)
 }
 
-// scan looks at candidates from to to-1, beginning at a random one so that
-// equal candidates share the work.
+// scan considers the candidates from to to-1, starting at a random one so that
+// equal candidates share the load.
 func (p *prediction) scan(seed, from, to int) {
 	n := to - from
 	if n <= 0 {
@@ -84,9 +89,9 @@
 	}
 }
 
-// sample looks at the endpoints that hold the prefix and at a few others.
+// sample considers the endpoints that hold the prefix and a few random others.
 func (p *prediction) sample() {
-	for _, id := range p.owners {
+	for _, id := range p.prefixHolders {
 		if id == 0 {
 			continue
 		}
@@ -95,11 +100,11 @@
 		}
 	}
 	r := source(p.q.Seed)
-	p.sampleRange(&r, 0, p.s.local, sampleLocal)
-	p.sampleRange(&r, p.s.local, len(p.s.candidates), sampleOthers)
+	p.sampleRange(&r, 0, p.s.local, localSamples)
+	p.sampleRange(&r, p.s.local, len(p.s.candidates), remoteSamples)
 }
 
-// sampleRange looks at most candidates of those from from to to-1.
+// sampleRange considers up to most random candidates of those from from to to-1.
 func (p *prediction) sampleRange(r *source, from, to, most int) {
 	n := to - from
 	if n <= most {
@@ -111,6 +116,8 @@
 	}
 }
 
+// consider makes candidate i the best one if it is usable and better than the
+// best so far.
 func (p *prediction) consider(i int) {
 	if !p.s.usable(p.q, i, p.now) {
 		return
@@ -118,30 +125,32 @@
 	c := &p.s.candidates[i]
 	st := c.stats
 	hit := 0.0
-	if p.holds(st.id) {
+	if p.holdsPrefix(st.id) {
 		hit = st.reuse.value(1)
 	}
-	fill := c.work(p.now.Duration) / c.capacity
-	// What was learned of an endpoint is believed less as it ages, so that
-	// one that was slow is tried again, but only by a request that would be
-	// in time even if nothing has changed.
-	slowest := p.finish(c, fill, hit, st.tokenTime.value(p.tokenTime), st.prefillTime.value(p.prefillTime))
-	cost := p.finish(c, fill, hit, st.tokenTime.aged(p.tokenTime, p.now.Duration, learnedHalf), st.prefillTime.aged(p.prefillTime, p.now.Duration, learnedHalf))
+	fill := c.estimatedInFlight(p.now.Duration) / c.capacity
+	// The cost uses times that decay towards those of the service, so that an
+	// endpoint that was slow is tried again. Whether the deadline is met is
+	// decided by the undecayed times, so that only requests that would be in
+	// time on a still slow endpoint are used to try it.
+	slowest := p.predictFinish(c, fill, hit, st.tokenTime.value(p.tokenTime), st.prefillTime.value(p.prefillTime))
+	cost := p.predictFinish(c, fill, hit, st.tokenTime.decayed(p.tokenTime, p.now.Duration, learnedHalfLife), st.prefillTime.decayed(p.prefillTime, p.now.Duration, learnedHalfLife))
 	cost -= hit * p.prompt * p.prefillTime * (reuseWeight - 1)
 	if i >= p.s.local {
-		cost += crossZone
+		cost += crossZonePenalty
 	}
-	meets := slowest <= p.left && !p.unproven(st)
+	meets := slowest <= p.timeLeft && !p.awaitsFirstTokens(st)
 	if p.best < 0 || meets && !p.bestMeets || meets == p.bestMeets && cost < p.bestCost {
 		p.best, p.bestCost, p.bestMeets = i, cost, meets
 	}
 }
 
-// finish predicts the seconds until the end of the answer at an endpoint that
-// is full to a part and takes the given times for a token of the answer and
-// of the prompt.
-func (p *prediction) finish(c *Candidate, fill, hit, tokenTime, prefillTime float64) float64 {
-	decode := p.answer * tokenTime * (1 + crowding*min(fill, 1))
+// predictFinish returns the predicted seconds until the end of the response at
+// an endpoint. fill is its load by its capacity, hit the probability that the
+// prefix is cached, tokenTime and prefillTime the seconds per response token and
+// per prompt token.
+func (p *prediction) predictFinish(c *Candidate, fill, hit, tokenTime, prefillTime float64) float64 {
+	decode := p.answer * tokenTime * (1 + fullBatchSlowdown*min(fill, 1))
 	prefill := p.prompt * prefillTime
 	wait := 0.0
 	if fill >= 1 {
@@ -150,15 +159,16 @@
 	return wait + prefill*(1-hit) + decode
 }
 
-// unproven reports whether this router waits for an endpoint's first tokens to
-// tell how quick it is. Until then it is assumed to be as quick as the others,
-// and a slow one would be sent more than it can answer in time.
-func (p *prediction) unproven(s *Stats) bool {
-	return p.paced && !s.tokenTime.known() && s.inFlight.Load() > 0
+// awaitsFirstTokens reports whether requests are in progress at an endpoint
+// whose time per token is still unknown. Until it is known, the endpoint is
+// assumed to be as fast as the others, and a slow one would get more requests
+// than it can answer in time.
+func (p *prediction) awaitsFirstTokens(s *Stats) bool {
+	return p.tokenTimeKnown && !s.tokenTime.hasSamples() && s.inFlight.Load() > 0
 }
 
-func (p *prediction) holds(id uint32) bool {
-	for _, o := range p.owners {
+func (p *prediction) holdsPrefix(id uint32) bool {
+	for _, o := range p.prefixHolders {
 		if o == id {
 			return true
 		}
--- a/picker/estimate.go
+++ b/picker/estimate.go
@@ -3,25 +3,27 @@
 import "time"
 
 const (
-	// learnedValidity is how long what was learned may refuse requests: when
-	// no run has ended for longer, one has to be let in to learn again.
+	// learnedValidity is how long after the last complete run the learned
+	// times may be used to reject requests. After that, requests have to be
+	// admitted to learn again.
 	learnedValidity = 10 * time.Second
-	// leastShare is the part of the expected time that a lucky run may take.
-	leastShare = 0.7
+	// minServiceShare is the fraction of the expected service time that the
+	// fastest runs take.
+	minServiceShare = 0.7
 )
 
-// Estimate is what this router expects of a request at any endpoint.
+// Estimate is the expected cost of a request, regardless of the endpoint.
 type Estimate struct {
-	// Tokens is the expected length of the answer.
+	// Tokens is the expected length of the response.
 	Tokens float64
-	// Service is the time from dispatch to the end of the answer, 0 while
-	// too little is learned to refuse on its account.
+	// Service is the expected time from dispatch to the end of the response;
+	// 0 if there are too few recent samples to reject requests by it.
 	Service time.Duration
-	// Least is the shortest time that is thinkable.
+	// MinService is the lower bound of the service time.
 	Least time.Duration
 }
 
-// Estimate predicts a request from what the service's last runs took.
+// Estimate predicts the cost of a request from the last runs of the service.
 func (s *Service) Estimate(q Query, now time.Duration) Estimate {
 	e := Estimate{Tokens: s.AnswerTokens(q.MaxAnswer)}
 	if !s.Learned(now, learnedValidity) {
@@ -29,11 +31,11 @@
 	}
 	if q.MaxAnswer == 0 {
 		e.Service = time.Duration(s.callTime.value(0) * float64(time.Second))
-		e.Least = time.Duration(leastShare * float64(e.Service))
+		e.Least = time.Duration(minServiceShare * float64(e.Service))
 		return e
 	}
 	x := e.Tokens*s.TokenTime() + float64(q.PromptTokens)*s.promptTime.value(assumedPrefillTime)
 	e.Service = time.Duration(x * float64(time.Second))
-	e.Least = time.Duration(leastShare * x * float64(time.Second))
+	e.Least = time.Duration(minServiceShare * x * float64(time.Second))
 	return e
 }
--- a/picker/least_outstanding.go
+++ b/picker/least_outstanding.go
@@ -1,16 +1,16 @@
 package picker
 
-// LeastOutstanding is the name of the picker that takes the candidate with
-// the fewest requests of this router in progress.
+// LeastOutstanding is the name of the picker that chooses the candidate with the
+// fewest requests of this router in progress.
 var LeastOutstanding = Register("least_outstanding", func() Picker { return leastOutstanding{} })
 
-// leastOutstandingSample bounds the candidates looked at.
+// leastOutstandingSample is the maximum number of candidates compared.
 const leastOutstandingSample = 256
 
 type leastOutstanding struct{}
 
-// Pick implements Picker. It begins at a random candidate: begun at the first,
-// every router of an idle fleet would send its first requests to the same one.
+// Pick implements Picker. It starts at a random candidate; otherwise every
+// router of an idle fleet would send its first requests to the same endpoint.
 func (leastOutstanding) Pick(q Query, s *Set) int {
 	n := len(s.candidates)
 	if n == 0 {
@@ -28,7 +28,7 @@
 		}
 	}
 	if best < 0 {
-		return s.lastResort(&q, now)
+		return s.fallback(&q, now)
 	}
 	return best
 }
--- a/picker/ledger.go
+++ b/picker/ledger.go
@@ -10,31 +10,32 @@
 	"rattanhoist.example/rattanhoist"
 )
 
-// Ledger is one router's own record of endpoints, services and prefixes. Safe
-// for concurrent use.
+// Ledger holds the statistics of one router on endpoints, services and cached
+// prefixes. It is safe for concurrent use.
 type Ledger struct {
 	base time.Time
-	// Endpoints maps names to *Stats of the newest incarnation.
+	// endpoints maps names to the *Stats of the newest incarnation.
 	endpoints sync.Map
-	// Services maps names to *Service.
+	// services maps names to *Service.
 	services sync.Map
 	nextID   atomic.Uint32
 	prefixes *prefixes
-	// Routers is how many routers share the endpoints, 0 where unknown.
+	// routers is the number of routers that share the endpoints, 0 if unknown.
 	routers atomic.Int64
 }
 
-// NewLedger returns an empty ledger that counts time from base.
+// NewLedger returns an empty ledger that measures time from base.
 func NewLedger(base time.Time) *Ledger { return &Ledger{base: base, prefixes: &prefixes{}} }
 
-// SetRouters says how many routers share the endpoints; callers are assumed
-// to be spread evenly over them.
+// SetRouters sets the number of routers that share the endpoints; callers are
+// assumed to be spread evenly over them.
 func (l *Ledger) SetRouters(n int) { l.routers.Store(int64(n)) }
 
-// Since returns the time since the ledger's base; monotonic where t is.
+// Since returns the time since the ledger's base, which is monotonic if t has a
+// monotonic reading.
 func (l *Ledger) Since(t time.Time) time.Duration { return t.Sub(l.base) }
 
-// Service returns the record of a service.
+// Service returns the statistics of a service and creates them if necessary.
 func (l *Ledger) Service(name string) *Service {
 	v, ok := l.services.Load(name)
 	if !ok {
@@ -43,8 +44,9 @@
 	return v.(*Service)
 }
 
-// Stats returns the record of an endpoint. A new incarnation starts afresh:
-// its cache is empty and the old one's requests are not its own.
+// Stats returns the statistics of an endpoint and creates them if necessary. A
+// new incarnation starts with empty ones, because its cache is empty and the
+// requests in progress belong to the old incarnation.
 func (l *Ledger) Stats(e *rattanhoist.Endpoint) *Stats {
 	for {
 		v, ok := l.endpoints.Load(e.Name())
@@ -65,7 +67,7 @@
 	}
 }
 
-// Forget drops endpoints that no set has listed for the given time.
+// RemoveIdle removes endpoints that no set has listed for the given time.
 func (l *Ledger) Forget(now time.Time, idle time.Duration) {
 	at := l.Since(now)
 	l.endpoints.Range(func(name, v any) bool {
@@ -76,8 +78,9 @@
 	})
 }
 
-// NewSet returns the table of the allowed endpoints of a service, for picks
-// from a zone; an announcement older than maxAge is not used.
+// NewSet returns the candidate set of the allowed endpoints of a service for
+// picks from a zone. Endpoints whose announcement is older than maxAge at the
+// time of the pick are not used.
 func (l *Ledger) NewSet(service, zone string, maxAge time.Duration, now time.Time, allowed []*rattanhoist.Endpoint) *Set {
 	s := &Set{ledger: l, service: l.Service(service), maxAge: maxAge, index: make(map[uint32]int32, len(allowed))}
 	s.candidates = make([]Candidate, 0, len(allowed))
@@ -100,7 +103,8 @@
 	return s
 }
 
-// inNameOrder sorts a copy where the list is not in order already.
+// inNameOrder returns the endpoints sorted by name and leaves the argument
+// unchanged.
 func inNameOrder(es []*rattanhoist.Endpoint) []*rattanhoist.Endpoint {
 	byName := func(a, b *rattanhoist.Endpoint) int { return strings.Compare(a.Name(), b.Name()) }
 	if slices.IsSortedFunc(es, byName) {
@@ -114,11 +118,11 @@
 func (l *Ledger) candidate(e *rattanhoist.Endpoint, now time.Duration) Candidate {
 	c := Candidate{endpoint: e, stats: l.Stats(e), capacity: float64(e.Capacity())}
 	c.stats.usedAt.Store(int64(now))
-	c.note(l)
+	c.recordLoad(l)
 	return c
 }
 
-// Known returns the record of an endpoint by name, or nil.
+// Lookup returns the statistics of an endpoint by name, or nil.
 func (l *Ledger) Known(name string) *Stats {
 	v, ok := l.endpoints.Load(name)
 	if !ok {
@@ -127,13 +131,14 @@
 	return v.(*Stats)
 }
 
-// CacheEvent takes in what an endpoint says of its prefix cache. Events come
-// late and with gaps, so they only add to the ledger's own record.
+// ApplyCacheEvent records that an endpoint has stored or evicted a prefix.
+// Events arrive late and with gaps, so they only supplement what the ledger
+// records by itself.
 func (l *Ledger) CacheEvent(e *rattanhoist.Endpoint, prefix uint64, stored bool, now time.Time) {
 	id := l.Stats(e).id
 	if stored {
-		l.prefixes.stored(prefix, id, l.Since(now))
+		l.prefixes.add(prefix, id, l.Since(now))
 		return
 	}
-	l.prefixes.evicted(prefix, id)
+	l.prefixes.remove(prefix, id)
 }
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -1,6 +1,6 @@
-// Package picker chooses the endpoint of a request. Pickers are plug-ins that
-// register themselves under a name; they read an immutable Set and this
-// router's own atomic counters, and take no lock.
+// Package picker implements load balancing: it chooses the endpoint of a
+// request. Pickers are plug-ins that register themselves under a name. They read
+// an immutable Set and this router's own atomic counters without locking.
 package picker
 
 import (
@@ -10,33 +10,34 @@
 	"rattanhoist.example/rattanhoist/registrar"
 )
 
-// Query is what a picker knows of the request.
+// Query describes a request to a picker.
 type Query struct {
 	Now      time.Time
 	Deadline time.Time
-	// Prefix is a hash of the prompt's head; 0 when there is none.
+	// Prefix is a hash of the beginning of the prompt, 0 if there is none.
 	Prefix uint64
-	// PromptTokens estimates the length of the prompt.
+	// PromptTokens is the estimated length of the prompt.
 	PromptTokens int64
-	// MaxAnswer bounds the answer in tokens.
+	// MaxAnswer is the maximum length of the response in tokens, 0 for
+	// responses without tokens.
 	MaxAnswer int64
-	// NotRepeatable keeps the request away from endpoints on probation.
+	// NotRepeatable excludes ejected endpoints that are due for a probe.
 	NotRepeatable bool
-	// Seed is a random word; the same query with the same seed gives the same
-	// choice.
+	// Seed is a random number that makes the choice reproducible: the same
+	// query with the same seed gives the same choice.
 	Seed uint64
-	// Tried lists the endpoints that failed this request already.
+	// Tried lists the endpoints at which this request already failed.
 	Tried []*Stats
 }
 
 func (q *Query) tried(s *Stats) bool { return len(q.Tried) > 0 && slices.Contains(q.Tried, s) }
 
-// Picker chooses among candidates; it returns -1 when none will do.
+// Picker returns the index of the chosen candidate, or -1 if none is suitable.
 type Picker interface {
 	Pick(q Query, s *Set) int
 }
 
-// Default is the picker for names that are not registered.
+// Default is the picker used for names that are not registered.
 const Default = "deadline"
 
 var registry = registrar.New[func() Picker](Default)
@@ -51,5 +52,5 @@
 	return f(), ok
 }
 
-// Names lists the registered plug-ins in order.
+// Names returns the sorted names of the registered plug-ins.
 func Names() []string { return registry.Names() }
--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -27,8 +27,8 @@
 	})
 }
 
-// fleetOf returns a set of n endpoints over three zones, with some learned
-// times and prefixes.
+// fleetOf returns a set of n endpoints in three zones, with some learned times
+// and cached prefixes.
 func fleetOf(n int) (*picker.Ledger, *picker.Set) {
 	l := picker.NewLedger(start.Add(-time.Minute))
 	var es []*rattanhoist.Endpoint
@@ -46,7 +46,7 @@
 	return picker.Query{Now: start, Deadline: start.Add(20 * time.Second), Prefix: prefix, PromptTokens: 1000, MaxAnswer: 200}
 }
 
-// run has a whole answer of 100 tokens pass at an endpoint.
+// run records a complete response of 100 tokens at an endpoint.
 func run(l *picker.Ledger, c *picker.Candidate, q picker.Query, first, token time.Duration) {
 	r := l.Begin(c, q)
 	r.First(q.Now.Add(first))
@@ -58,7 +58,8 @@
 	r.End(q.Now.Add(time.Millisecond), picker.Outcome{CachedTokens: -1, Fault: true}, 0)
 }
 
-// shares picks n times with different seeds and counts by endpoint.
+// shares picks n times with different seeds and returns the number of picks by
+// endpoint.
 func shares(p picker.Picker, s *picker.Set, q picker.Query, n int) map[string]int {
 	got := map[string]int{}
 	for i := range n {
@@ -109,7 +110,8 @@
 	}
 }
 
-// TestGoldenPicks shows the choices of every picker for fixed seeds.
+// TestGoldenPicks compares the choices of every picker for fixed seeds with a
+// golden file.
 func TestGoldenPicks(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var out strings.Builder
@@ -136,12 +138,11 @@
 	g.Expect(out.String()).To(gomega.Equal(string(want)))
 }
 
-// Symptom: a router that was stopped sends requests to endpoints that have
-// gone.
-// Sequence: the table is built; the process is stopped for ten seconds; it
-// continues and picks before any announcement has come in.
-// Cause: a table is believed by its content and not by its age at use.
-func TestPausedRouterTrustsNoStaleReport(t *testing.T) {
+// Guards against a resumed router that sends requests to endpoints that are
+// gone: the table is built, the process is suspended for ten seconds, and it
+// picks before any announcement arrives. The age of announcements must be
+// checked at pick time.
+func TestResumedRouterIgnoresStaleEndpoints(t *testing.T) {
 	for _, name := range picker.Names() {
 		g := gomega.NewWithT(t)
 		_, s := fleetOf(12)
@@ -153,10 +154,9 @@
 	}
 }
 
-// Symptom: a request waits for an endpoint that fails every run.
-// Sequence: three runs in a row fail; the endpoint, idle, looks best.
-// Cause: failing fast makes an endpoint look free.
-func TestFailingEndpointIsEjectedAndProbedBack(t *testing.T) {
+// Guards against preferring an endpoint that fails every run: after three
+// consecutive failures it is idle, so it looks like the best choice.
+func TestFailingEndpointIsEjectedAndReadmittedByProbe(t *testing.T) {
 	for _, name := range picker.Names() {
 		g := gomega.NewWithT(t)
 		l, s := fleetOf(3)
@@ -178,10 +178,9 @@
 	}
 }
 
-// Symptom: every request is refused although endpoints are there.
-// Sequence: all endpoints fail three times in a row.
-// Cause: ejection of everything leaves nothing to pick.
-func TestAllEjectedIsBetterThanNone(t *testing.T) {
+// Guards against rejecting every request because all endpoints are ejected: each
+// of them fails three times in a row.
+func TestPicksEjectedEndpointIfAllAreEjected(t *testing.T) {
 	for _, name := range picker.Names() {
 		g := gomega.NewWithT(t)
 		l, s := fleetOf(3)
@@ -204,10 +203,9 @@
 	}
 }
 
-// Symptom: requests time out at an endpoint that is ten times slower.
-// Sequence: its load looks like the others'; its runs take ten times longer.
-// Cause: load counts requests and says nothing of their speed.
-func TestDeadlineFindsSlowEndpointOut(t *testing.T) {
+// Guards against timeouts at an endpoint that is ten times slower than the
+// others but reports the same load: load counts requests, not their speed.
+func TestDeadlineAvoidsSlowEndpoint(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, s := fleetOf(3)
 	for range 10 {
@@ -256,10 +254,10 @@
 	g.Expect(picker.Names()).To(gomega.Equal([]string{"deadline", "least_outstanding", "round_robin", "two_choices"}))
 }
 
-// Symptom: a restarted endpoint is shunned for what it did before.
-// Sequence: it is ejected, restarts and announces a new incarnation.
-// Cause: the record is kept by name alone.
-func TestNewIncarnationStartsAfresh(t *testing.T) {
+// Guards against avoiding a restarted endpoint because of its past failures: it
+// is ejected, restarts and announces a new incarnation. Statistics must not be
+// keyed by name alone.
+func TestNewIncarnationHasEmptyStats(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, s := fleetOf(3)
 	for range 3 {
@@ -270,11 +268,11 @@
 	g.Expect(l.Stats(e).Ejected()).To(gomega.BeFalse())
 }
 
-// Symptom: requests without a bound of their own are refused as too long.
-// Sequence: callers that bound their answers to the token are answered, then
-// one comes under the service's bound of 4,000.
-// Cause: the part of the bound that answers used is taken for all bounds.
-func TestLooseBoundIsNotTakenForALongAnswer(t *testing.T) {
+// Guards against rejecting requests without a token limit of their own as too
+// long: after callers with exact limits, one request comes with the service's
+// limit of 4,000. The fraction of the limit that responses use doesn't carry
+// over from tight limits to loose ones.
+func TestLooseTokenLimitIsNotExpectedLength(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, s := fleetOf(3)
 	tight := query(0)
@@ -289,11 +287,10 @@
 	g.Expect(s.Service().Estimate(loose, l.Since(start.Add(time.Hour))).Service).To(gomega.BeZero(), "old knowledge refuses nobody")
 }
 
-// Symptom: requests go on to an endpoint ten times slower and miss their
-// deadlines. Sequence: every run there is cut off at its deadline. Cause: only
-// whole answers taught the time of a token, so the endpoint looked unknown and
-// was taken to be as quick as the others.
-func TestRunsCutOffTeachThatAnEndpointIsSlow(t *testing.T) {
+// Guards against sending requests to a ten times slower endpoint at which every
+// run is cut off at its deadline: if only complete responses gave samples,
+// its time per token would stay unknown and be assumed to equal the others'.
+func TestIncompleteRunsRevealSlowEndpoint(t *testing.T) {
 	for name, cut := range map[string]bool{"in progress": false, "cut off": true} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -323,11 +320,11 @@
 	}
 }
 
-// Symptom: in its first seconds a router sends an endpoint ten times slower
-// more than it can answer in time. Sequence: an endpoint that nothing is known
-// of has a request in progress and holds the prefix of the next ones. Cause:
-// an unknown endpoint is taken to be as quick as the others.
-func TestUnknownEndpointGetsOneRequestUntilItsFirstTokens(t *testing.T) {
+// Guards against a new router that sends a ten times slower endpoint more than it
+// can answer in time: the endpoint has no samples, one request in progress and
+// the prefix of the next requests cached. Without samples it is assumed to be as
+// fast as the others.
+func TestEndpointWithoutSamplesGetsOneRequestUntilFirstTokens(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := picker.NewLedger(start.Add(-time.Minute))
 	var es []*rattanhoist.Endpoint
--- a/picker/prefixes.go
+++ b/picker/prefixes.go
@@ -8,23 +8,24 @@
 const (
 	prefixWays = 4
 	prefixSets = 1 << 13
-	// prefixMaxAge bounds how long a record is believed without renewal.
+	// prefixMaxAge is how long a record is used without renewal.
 	prefixMaxAge = 10 * time.Minute
 )
 
-// prefixes records which endpoints hold which prompt prefixes in their cache:
-// this router's own dispatches, and cache events where they come. Its memory
-// is fixed; the oldest record of a full set makes room. It is only a hint.
-// Safe for concurrent use without a lock.
+// prefixes is a set-associative table of the endpoints that hold a prompt prefix
+// in their cache, as far as known from this router's own dispatches and from
+// cache events. Its memory is fixed: the oldest record of a full set is replaced.
+// Its content is only a hint. It is lock-free and safe for concurrent use.
 type prefixes struct {
 	slots [prefixSets * prefixWays]prefixSlot
 }
 
-// prefixSlot holds check = prefix XOR value, so that a reader that meets the
-// halves of two writes sees a prefix that nobody asked for.
+// prefixSlot holds check = prefix XOR value, so that a torn read of two
+// concurrent writes yields a prefix that doesn't match any query.
 type prefixSlot struct{ check, value atomic.Uint64 }
 
-// A value packs the endpoint's id and the second of the record plus one.
+// packValue packs the endpoint's id and the time of the record in seconds plus
+// one, so that a value is never 0.
 func packValue(id uint32, now time.Duration) uint64 {
 	return uint64(id)<<32 | uint64(uint32(now/time.Second)+1)
 }
@@ -34,8 +35,8 @@
 	return p.slots[i : i+prefixWays]
 }
 
-// stored notes that an endpoint has a prefix.
-func (p *prefixes) stored(prefix uint64, id uint32, now time.Duration) {
+// add records that an endpoint holds a prefix.
+func (p *prefixes) add(prefix uint64, id uint32, now time.Duration) {
 	if prefix == 0 {
 		return
 	}
@@ -57,8 +58,8 @@
 	set[at].check.Store(prefix ^ v)
 }
 
-// evicted notes that an endpoint no longer has a prefix.
-func (p *prefixes) evicted(prefix uint64, id uint32) {
+// remove records that an endpoint no longer holds a prefix.
+func (p *prefixes) remove(prefix uint64, id uint32) {
 	set := p.set(prefix)
 	for i := range set {
 		v := set[i].value.Load()
@@ -68,8 +69,9 @@
 	}
 }
 
-// owners lists the ids of endpoints that hold a prefix, 0 for none.
-func (p *prefixes) owners(prefix uint64, now time.Duration) (ids [prefixWays]uint32) {
+// holders returns the ids of the endpoints that hold a prefix; unused entries
+// are 0.
+func (p *prefixes) holders(prefix uint64, now time.Duration) (ids [prefixWays]uint32) {
 	if prefix == 0 {
 		return ids
 	}
--- a/picker/source.go
+++ b/picker/random.go
@@ -1,6 +1,6 @@
 package picker
 
-// mix spreads the bits of a word (the finalizer of SplitMix64).
+// mix hashes a word with the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -9,7 +9,7 @@
 	return x ^ x>>31
 }
 
-// source is a small deterministic source of random words.
+// source is a SplitMix64 pseudorandom number generator.
 type source uint64
 
 func (r *source) next() uint64 {
@@ -17,6 +17,6 @@
 	return mix(uint64(*r))
 }
 
-// below returns a number from 0 to n-1; n is far below 2^32, so the bias of
-// the multiplication does not count.
+// below returns a random number in [0, n). The bias of the multiplication is
+// negligible because n is far below 2^32.
 func (r *source) below(n int) int { return int((r.next() >> 32) * uint64(n) >> 32) }
--- a/picker/round_robin.go
+++ b/picker/round_robin.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// RoundRobin is the name of the picker that takes the candidates in turn.
+// RoundRobin is the name of the picker that cycles through the candidates.
 var RoundRobin = Register("round_robin", func() Picker { return &roundRobin{} })
 
 type roundRobin struct{ next atomic.Uint64 }
@@ -20,5 +20,5 @@
 			return i
 		}
 	}
-	return s.lastResort(&q, now)
+	return s.fallback(&q, now)
 }
--- a/picker/set.go
+++ b/picker/set.go
@@ -7,9 +7,9 @@
 	"rattanhoist.example/rattanhoist"
 )
 
-// Candidate is an endpoint that statements allow to serve the request.
+// Candidate is an endpoint that the policy statements allow for the request.
 type Candidate struct {
-	// Endpoint is renewed in place: its load and age are read at the pick.
+	// endpoint is updated in place: its load and age are read at pick time.
 	endpoint *rattanhoist.Endpoint
 	stats    *Stats
 	capacity float64
@@ -18,23 +18,24 @@
 // Endpoint returns the announced endpoint.
 func (c *Candidate) Endpoint() *rattanhoist.Endpoint { return c.endpoint }
 
-// Stats returns this router's own record of the endpoint.
+// Stats returns this router's statistics of the endpoint.
 func (c *Candidate) Stats() *Stats { return c.stats }
 
 // Set is the immutable table of candidates for one service and one group of
-// statements, built once for many picks.
+// policy statements, built once for many picks.
 type Set struct {
 	ledger  *Ledger
 	service *Service
 	maxAge  time.Duration
-	// Candidates begin with those of the own zone, in order of their names.
+	// candidates holds those of the local zone first, each part sorted by name.
 	candidates []Candidate
 	local      int
-	// Index finds a candidate by the id of its stats.
+	// index maps the id of a candidate's stats to its position.
 	index    map[uint32]int32
 	capacity float64
-	// Room and roomAt keep what Room computed last, and when.
-	room, roomAt atomic.Int64
+	// freeCapacity and freeCapacityAt cache the last result of FreeCapacity
+	// and its time.
+	freeCapacity, freeCapacityAt atomic.Int64
 }
 
 // Len returns the number of candidates, usable or not.
@@ -43,21 +44,23 @@
 // At returns a candidate.
 func (s *Set) At(i int) *Candidate { return &s.candidates[i] }
 
-// Service returns what is learned of the service.
+// Service returns the statistics of the service.
 func (s *Set) Service() *Service { return s.service }
 
-// instant is the time of a pick: since the ledger's base, and by both clocks.
+// instant is the time of a pick, as the time since the ledger's base and as a
+// moment, which reads both clocks.
 type instant struct {
 	time.Duration
 	moment rattanhoist.Moment
 }
 
-// fresh reports whether new work may be sent to the endpoint. It reads the
-// age at the moment of use: a router that was stopped for an hour wakes with
-// an old table and, without this, would send work on it.
+// fresh reports whether the endpoint's announcement is recent enough to send new
+// requests. The age is checked at pick time: otherwise a router that was
+// suspended for an hour would resume by sending requests from an old table.
 func (s *Set) fresh(c *Candidate, now instant) bool { return c.endpoint.UsableAt(now.moment, s.maxAge) }
 
-// usable reports whether candidate i may get the request.
+// usable reports whether candidate i is fresh, not ejected and not yet tried.
+// An ejected endpoint that is due for a probe gets repeatable requests only.
 func (s *Set) usable(q *Query, i int, now instant) bool {
 	c := &s.candidates[i]
 	if !s.fresh(c, now) {
@@ -69,7 +72,7 @@
 	return !q.tried(c.stats)
 }
 
-// Alive reports whether any endpoint may get new work, ejected ones included.
+// HasFresh reports whether any endpoint is fresh, including ejected ones.
 func (s *Set) Alive(t time.Time) bool {
 	now := s.at(t)
 	for i := range s.candidates {
@@ -80,21 +83,21 @@
 	return false
 }
 
-// Refresh notes the load reports that have come in since.
+// Refresh records the last load report of every candidate.
 func (s *Set) Refresh() {
 	for i := range s.candidates {
-		s.candidates[i].note(s.ledger)
+		s.candidates[i].recordLoad(s.ledger)
 	}
 }
 
-// note takes the endpoint's last load report into the record.
-func (c *Candidate) note(l *Ledger) {
-	c.stats.report(l.Since(c.endpoint.Heard()), float64(c.endpoint.Load()))
+// recordLoad adds the endpoint's last load report to its statistics.
+func (c *Candidate) recordLoad(l *Ledger) {
+	c.stats.recordReport(l.Since(c.endpoint.Heard()), float64(c.endpoint.Load()))
 }
 
-// lastResort returns a fresh candidate that was not tried, ejected or not: a
-// request is better sent to a doubtful endpoint than refused.
-func (s *Set) lastResort(q *Query, now instant) int {
+// fallback returns a fresh candidate that was not tried, even if it is ejected:
+// sending a request to an ejected endpoint is better than rejecting it.
+func (s *Set) fallback(q *Query, now instant) int {
 	n := len(s.candidates)
 	if n == 0 {
 		return -1
--- a/picker/two_choices.go
+++ b/picker/two_choices.go
@@ -1,11 +1,12 @@
 package picker
 
-// TwoChoices is the name of the picker that draws two candidates and takes
-// the one with less work for its capacity.
+// TwoChoices is the name of the picker that draws two random candidates and
+// chooses the one with the lower load relative to its capacity.
 var TwoChoices = Register("two_choices", func() Picker { return twoChoices{} })
 
-// twoChoicesDraws bounds the draws that look for two usable candidates.
-const twoChoicesDraws = 8
+// maxTwoChoicesDraws is the maximum number of draws to find two usable
+// candidates.
+const maxTwoChoicesDraws = 8
 
 type twoChoices struct{}
 
@@ -18,12 +19,12 @@
 	now := s.at(q.Now)
 	r := source(q.Seed)
 	best, found := -1, 0
-	for range twoChoicesDraws {
+	for range maxTwoChoicesDraws {
 		i := r.below(n)
 		if i == best || !s.usable(&q, i, now) {
 			continue
 		}
-		if best < 0 || s.candidates[i].reported() < s.candidates[best].reported() {
+		if best < 0 || s.candidates[i].reportedLoad() < s.candidates[best].reportedLoad() {
 			best = i
 		}
 		if found++; found == 2 {
@@ -31,7 +32,7 @@
 		}
 	}
 	if best < 0 {
-		return s.lastResort(&q, now)
+		return s.fallback(&q, now)
 	}
 	return best
 }
