--- a/joiner/core.go
+++ b/joiner/core.go
@@ -1,6 +1,7 @@
-// Package joiner gives each request identity one run at a router: a second
-// arrival joins the run in progress or gets the kept answer, and an identity
-// that comes back with another request is refused.
+// Package joiner deduplicates requests by their id: a router executes at most
+// one run per id at a time. A repeated request joins the run in progress or gets
+// the cached response, and an id that is reused for a different request is
+// rejected.
 package joiner
 
 import (
@@ -13,53 +14,56 @@
 	"rattanhoist.example/rattanhoist"
 )
 
-// Digest is the SHA-256 sum of what a request asks for.
+// Digest is the SHA-256 sum of the content of a request.
 type Digest [sha256.Size]byte
 
-// Limits bound what a core remembers.
+// Limits bounds how long and how much a core stores.
 type Limits struct {
-	// Grace is how long a run goes on after its last waiter has gone, so
+	// Grace is how long a run continues after its last waiter has left, so
 	// that a retry can join it.
 	Grace time.Duration
-	// Keep is how long past its deadline a finished request is remembered.
+	// Keep is how long after its deadline a finished request is stored.
 	Keep time.Duration
-	// MaxBytes bounds the kept answers, with entryBytes for each.
+	// MaxBytes is the maximum size of the stored responses, including
+	// entryBytes for each.
 	MaxBytes int64
 }
 
-// entryBytes is what a remembered request takes besides its answer.
+// entryBytes is the size of a stored request without its response.
 const entryBytes = 900
 
-// Event is what happens to a core.
+// Event is an input of a core.
 type Event interface{ isEvent() }
 
-// Arrive is a request at the router.
+// Arrive is the arrival of a request at the router.
 type Arrive struct {
 	Key      rattanhoist.RequestKey
 	Digest   Digest
 	Deadline time.Time
-	// Pinned keeps the run going when its waiters have gone: a request that
-	// may not be repeated must not be lost half-way.
+	// Pinned lets the run continue after its waiters have left, because a
+	// request that must not be repeated must not be cancelled half-way.
 	Pinned bool
-	// JoinOnly never starts a run.
+	// JoinOnly prevents the arrival from starting a run.
 	JoinOnly bool
-	// First says that no earlier attempt can have run elsewhere.
+	// FirstAttempt is set if no earlier attempt can have run elsewhere.
 	First bool
 }
 
-// Leave is a waiter that has its answer or has gone.
+// Leave is the departure of a waiter, with or without a response.
 type Leave struct{ Key rattanhoist.RequestKey }
 
-// How says how a run ended.
+// Outcome is the outcome of a run.
 type How int
 
-// Ends of a run.
+// Outcomes of a run.
 const (
-	// Answered keeps the answer for retries.
+	// Answered means that the run succeeded; its response is stored for
+	// retries.
 	Answered How = iota
-	// Failed remembers that the request may have run; a retry runs anew.
+	// Failed means that the request may have run; this fact is stored, and a
+	// retry starts a new run.
 	Failed
-	// NotRun remembers nothing.
+	// NotRun means that the request was not run; nothing is stored.
 	NotRun
 )
 
@@ -70,7 +74,7 @@
 	How  How
 }
 
-// Tick lets time pass.
+// Tick advances the time.
 type Tick struct{}
 
 func (Arrive) isEvent() {}
@@ -78,29 +82,29 @@
 func (End) isEvent()    {}
 func (Tick) isEvent()   {}
 
-// Action is what the shell must do.
+// Action is an output of a core, to be carried out by its caller.
 type Action interface{ isAction() }
 
-// Start begins a run; the arrival waits for it. Again says that an earlier run
-// here may have been dispatched.
+// Start starts a run for which the arrival waits. Rerun is set if an earlier run
+// at this router may have been dispatched.
 type Start struct {
 	Key   rattanhoist.RequestKey
 	Again bool
 }
 
-// Join has the arrival wait for the run in progress or take the kept answer.
+// Join lets the arrival wait for the run in progress or get the stored response.
 type Join struct{ Key rattanhoist.RequestKey }
 
-// Reused refuses the arrival: its identity belongs to another request.
+// Reused rejects the arrival because its id belongs to a different request.
 type Reused struct{ Key rattanhoist.RequestKey }
 
-// Absent answers an arrival that may only join: nothing is remembered.
+// Absent rejects an arrival that may only join because there is nothing to join.
 type Absent struct{ Key rattanhoist.RequestKey }
 
-// Cancel ends a run that nobody waits for, or whose time is up.
+// Cancel cancels a run without waiters or past its deadline.
 type Cancel struct{ Key rattanhoist.RequestKey }
 
-// Forget drops an entry; Evicted says that it was for want of room.
+// Forget removes an entry; Evicted is set if MaxBytes was exceeded.
 type Forget struct {
 	Key     rattanhoist.RequestKey
 	Evicted bool
@@ -113,48 +117,49 @@
 func (Cancel) isAction() {}
 func (Forget) isAction() {}
 
-// entry is one remembered request.
+// entry is a running or finished request.
 type entry struct {
 	key    rattanhoist.RequestKey
 	digest Digest
 	pinned bool
-	// Waiters counts arrivals that have not left.
+	// waiters counts the arrivals that have not left.
 	waiters int
-	// Deadline is the latest of the arrivals'.
+	// deadline is the latest deadline of the arrivals.
 	deadline time.Time
-	// Idle is when the last waiter left a run.
-	idle time.Time
-	// Cancelled says that Cancel was given out; the run will end.
+	// idleSince is when the last waiter left.
+	idleSince time.Time
+	// cancelled is set once Cancel was returned; the run is going to end.
 	cancelled bool
-	// Failed says that the run ended without an answer.
+	// failed is set if the run ended without a response.
 	failed bool
 	size   int64
-	// Kept is the place among the finished, oldest first; nil while running.
-	kept *list.Element
+	// element is the position in Core.finished; nil while the run is in
+	// progress.
+	element *list.Element
 }
 
-// Core decides for the identities of one shard. It is not safe for concurrent
-// use.
+// Core is the state machine that deduplicates the requests of one shard. It is
+// not safe for concurrent use.
 type Core struct {
 	limits  Limits
 	entries map[rattanhoist.RequestKey]*entry
-	// Kept lists finished entries in the order in which they ended.
-	kept  *list.List
-	bytes int64
+	// finished lists the finished entries in the order in which they ended.
+	finished *list.List
+	bytes    int64
 }
 
 // NewCore returns an empty core.
 func NewCore(l Limits) *Core {
-	return &Core{limits: l, entries: map[rattanhoist.RequestKey]*entry{}, kept: list.New()}
+	return &Core{limits: l, entries: map[rattanhoist.RequestKey]*entry{}, finished: list.New()}
 }
 
-// Bytes returns the size of the kept answers.
+// Bytes returns the size of the stored responses.
 func (c *Core) Bytes() int64 { return c.bytes }
 
-// Len returns the number of remembered requests.
+// Len returns the number of running and finished requests.
 func (c *Core) Len() int { return len(c.entries) }
 
-// Waiters returns how many arrivals wait for a request.
+// Waiters returns the number of arrivals that wait for a request.
 func (c *Core) Waiters(k rattanhoist.RequestKey) int {
 	if e := c.entries[k]; e != nil {
 		return e.waiters
@@ -162,7 +167,7 @@
 	return 0
 }
 
-// Step handles an event.
+// Step applies an event and returns the actions to carry out.
 func (c *Core) Step(now time.Time, e Event) []Action {
 	switch e := e.(type) {
 	case Arrive:
@@ -179,7 +184,7 @@
 
 func (c *Core) arrive(now time.Time, a Arrive) []Action {
 	e := c.entries[a.Key]
-	if e != nil && e.kept != nil && !now.Before(e.expiry(c.limits.Keep)) {
+	if e != nil && e.element != nil && !now.Before(e.expiry(c.limits.Keep)) {
 		c.forget(e)
 		return append([]Action{Forget{Key: a.Key}}, c.arrive(now, a)...)
 	}
@@ -187,7 +192,7 @@
 	case e == nil && a.JoinOnly:
 		return []Action{Absent{Key: a.Key}}
 	case e == nil:
-		c.begin(a)
+		c.addEntry(a)
 		return []Action{Start{Key: a.Key}}
 	case e.digest != a.Digest:
 		return []Action{Reused{Key: a.Key}}
@@ -195,7 +200,7 @@
 		return []Action{Absent{Key: a.Key}}
 	case e.failed:
 		c.forget(e)
-		c.begin(a)
+		c.addEntry(a)
 		return []Action{Start{Key: a.Key, Again: true}}
 	}
 	e.waiters++
@@ -205,8 +210,8 @@
 	return []Action{Join{Key: a.Key}}
 }
 
-// begin remembers a request that starts to run.
-func (c *Core) begin(a Arrive) {
+// addEntry adds the entry of a run that starts.
+func (c *Core) addEntry(a Arrive) {
 	c.entries[a.Key] = &entry{key: a.Key, digest: a.Digest, pinned: a.Pinned, waiters: 1, deadline: a.Deadline}
 }
 
@@ -217,14 +222,14 @@
 	}
 	e.waiters--
 	if e.waiters == 0 {
-		e.idle = now
+		e.idleSince = now
 	}
 	return nil
 }
 
 func (c *Core) end(d End) []Action {
 	e := c.entries[d.Key]
-	if e == nil || e.kept != nil {
+	if e == nil || e.element != nil {
 		return nil
 	}
 	if d.How == NotRun {
@@ -236,11 +241,11 @@
 	if d.How == Answered {
 		e.size += d.Size
 	}
-	e.kept = c.kept.PushBack(e)
+	e.element = c.finished.PushBack(e)
 	c.bytes += e.size
 	var out []Action
 	for c.bytes > c.limits.MaxBytes {
-		oldest := c.kept.Front().Value.(*entry)
+		oldest := c.finished.Front().Value.(*entry)
 		c.forget(oldest)
 		out = append(out, Forget{Key: oldest.key, Evicted: true})
 	}
@@ -251,10 +256,10 @@
 	var out []Action
 	for _, e := range c.entries {
 		switch {
-		case e.kept != nil && !now.Before(e.expiry(c.limits.Keep)):
+		case e.element != nil && !now.Before(e.expiry(c.limits.Keep)):
 			c.forget(e)
 			out = append(out, Forget{Key: e.key})
-		case e.kept == nil && !e.cancelled && c.over(now, e):
+		case e.element == nil && !e.cancelled && c.mustCancel(now, e):
 			e.cancelled = true
 			out = append(out, Cancel{Key: e.key})
 		}
@@ -273,18 +278,18 @@
 	return ""
 }
 
-// over reports whether a run must end: past every deadline, or with nobody
-// left to read its answer.
-func (c *Core) over(now time.Time, e *entry) bool {
+// mustCancel reports whether a run must be cancelled: it is past the deadlines
+// of all arrivals, or it isn't pinned and has had no waiters for the grace time.
+func (c *Core) mustCancel(now time.Time, e *entry) bool {
 	if !now.Before(e.deadline) {
 		return true
 	}
-	return !e.pinned && e.waiters == 0 && now.Sub(e.idle) >= c.limits.Grace
+	return !e.pinned && e.waiters == 0 && now.Sub(e.idleSince) >= c.limits.Grace
 }
 
 func (c *Core) forget(e *entry) {
 	delete(c.entries, e.key)
-	c.kept.Remove(e.kept)
+	c.finished.Remove(e.element)
 	c.bytes -= e.size
 }
 
--- a/joiner/joiner.go
+++ b/joiner/joiner.go
@@ -13,34 +13,34 @@
 
 // Errors of an arrival. Compare with errors.Is.
 var (
-	// ErrReused says that the identity belongs to another request.
+	// ErrIDReused is returned if the id belongs to a different request.
 	ErrReused = merry.Sentinel("the request id was used for another request")
-	// ErrAbsent says that nothing is remembered under the identity.
+	// ErrNotFound is returned if there is no run and no response for the id.
 	ErrAbsent = merry.Sentinel("no run and no answer is remembered")
 )
 
-// shards is how many locks the identities are spread over, so that no lock is
-// shared by all requests.
-const shards = 64
+// shardCount is the number of shards, each with its own lock to reduce
+// contention.
+const shardCount = 64
 
 var counters = expvar.NewMap("joiner")
 
 type shard struct {
 	mu   sync.Mutex
 	core *Core
-	// Runs holds a run for every entry of the core.
+	// runs holds a run for every entry of the core.
 	runs map[rattanhoist.RequestKey]*Run
 }
 
-// Joiner holds the runs and kept answers of a router. Safe for concurrent
-// use.
+// Joiner holds the runs and stored responses of a router. It is safe for
+// concurrent use.
 type Joiner struct {
-	shards [shards]*shard
+	shards [shardCount]*shard
 }
 
-// New returns a joiner; the limit of bytes is shared out over its shards.
+// New returns a joiner; MaxBytes is divided evenly among its shards.
 func New(l Limits) *Joiner {
-	l.MaxBytes /= shards
+	l.MaxBytes /= shardCount
 	j := &Joiner{}
 	for i := range j.shards {
 		j.shards[i] = &shard{core: NewCore(l), runs: map[rattanhoist.RequestKey]*Run{}}
@@ -49,11 +49,11 @@
 }
 
 func (j *Joiner) shard(k rattanhoist.RequestKey) *shard {
-	return j.shards[xxhash.Sum64String(k.String())%shards]
+	return j.shards[xxhash.Sum64String(k.String())%shardCount]
 }
 
-// Arrive returns the run of a request. Where it is new, begun reports true
-// and the caller must run it and End it. Every arrival without an error must
+// Arrive returns the run of a request. If begun is true, the run is new, and the
+// caller must execute it and call End. Every caller that gets no error must call
 // Leave.
 func (j *Joiner) Arrive(now time.Time, a Arrive) (run *Run, begun bool, err error) {
 	s := j.shard(a.Key)
@@ -79,8 +79,8 @@
 	return nil, false, ErrAbsent
 }
 
-// Leave says that a waiter of a run has its answer or has gone. A waiter of
-// an earlier run under the same identity does not count for the one now.
+// Leave records that a waiter of a run has its response or has gone. It ignores
+// waiters of an earlier run with the same id.
 func (j *Joiner) Leave(now time.Time, k rattanhoist.RequestKey, run *Run) {
 	s := j.shard(k)
 	s.mu.Lock()
@@ -90,8 +90,8 @@
 	}
 }
 
-// Stop keeps the run of a waiter from being dispatched, unless others wait
-// for it too. It reports whether the request provably did not run.
+// Stop prevents the run of a waiter from being dispatched, unless others wait
+// for it too. It reports whether the request certainly did not run.
 func (j *Joiner) Stop(k rattanhoist.RequestKey, run *Run) bool {
 	s := j.shard(k)
 	s.mu.Lock()
@@ -103,8 +103,9 @@
 	return proven
 }
 
-// End ends a run. An answer is kept for retries; of a failure, that it may
-// have run.
+// End ends a run with a response or an error. The response is stored for
+// retries. After an error, the fact that the request may have run is stored,
+// unless the run was stopped before its dispatch.
 func (j *Joiner) End(now time.Time, k rattanhoist.RequestKey, run *Run, a *Answer, err error) {
 	stopped, _ := run.Stop()
 	how := Answered
@@ -123,7 +124,8 @@
 	run.end(a, err)
 }
 
-// Tick gives up runs that nobody waits for and forgets what has expired.
+// Tick cancels runs without waiters or past their deadline and removes expired
+// entries.
 func (j *Joiner) Tick(now time.Time) {
 	for _, s := range j.shards {
 		s.mu.Lock()
@@ -132,6 +134,7 @@
 	}
 }
 
+// apply carries out the actions of an End or Tick event.
 func (s *shard) apply(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -147,8 +150,8 @@
 	}
 }
 
-// Len returns how many requests are remembered, and the bytes of their kept
-// answers.
+// Len returns the number of running and finished requests and the size of the
+// stored responses.
 func (j *Joiner) Len() (requests int, bytes int64) {
 	for _, s := range j.shards {
 		s.mu.Lock()
--- a/joiner/joiner_test.go
+++ b/joiner/joiner_test.go
@@ -32,7 +32,7 @@
 
 var limits = joiner.Limits{Grace: 2 * time.Second, Keep: 10 * time.Second, MaxBytes: 3000}
 
-// known is what the oracle remembers of a request.
+// known is the model's state of a request.
 type known struct {
 	digest   joiner.Digest
 	running  bool
@@ -45,7 +45,7 @@
 	ended    int
 }
 
-// oracle is a plain book of what a core must know.
+// oracle is a simple model of a core, used to check its actions.
 type oracle struct {
 	t     *rapid.T
 	core  *joiner.Core
@@ -159,13 +159,11 @@
 	}
 }
 
-// TestOneRunForEachIdentity
-// Symptom: a retry starts a second run, gets another's answer, or cancels a
-// run that others wait for; memory grows without bound.
-// Sequence: arrivals, departures, ends and time in any order, checked against
-// a plain book.
-// Cause it guards against: an entry dropped or kept too early or too late.
-func TestOneRunForEachIdentity(t *testing.T) {
+// Checks arrivals, departures, ends and ticks in random order against a simple
+// model. Guards against entries that are removed too early or too late, so that
+// a retry starts a second run, gets the response of another request or cancels a
+// run that others wait for, or memory grows without bound.
+func TestOneRunPerRequestID(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := &oracle{t: t, core: joiner.NewCore(limits), now: time.Unix(1000, 0), book: map[rattanhoist.RequestKey]*known{}}
 		t.Repeat(map[string]func(*rapid.T){
@@ -177,11 +175,9 @@
 	})
 }
 
-// TestRunHoldsLastCharacterBack
-// Symptom: a caller has the whole text of an answer that was never billed.
-// Sequence: the text is there, the charge is not yet durable.
-// Cause it guards against: passing the last byte on with the others.
-func TestRunHoldsLastCharacterBack(t *testing.T) {
+// Guards against delivering the whole text of a response that is never billed:
+// the last character must be held back until the charge is durable.
+func TestLastCharacterIsHeldBackUntilBilled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		j := joiner.New(limits)
@@ -204,13 +200,11 @@
 	})
 }
 
-// TestStopProvesOnlyWhatIsKnown
-// Symptom: a refusal says "not run" and the request runs.
-// Sequence: a waiter gives up before the dispatch, after it, while another
-// waits, and after an earlier run that failed.
-// Cause it guards against: a deadline that looks at the clock and not at the
-// run.
-func TestStopProvesOnlyWhatIsKnown(t *testing.T) {
+// Guards against reporting a request as not run although it runs, because the
+// deadline is checked against the clock and not against the state of the run. A
+// waiter gives up before the dispatch, after it, while another one waits, and
+// after an earlier run that failed.
+func TestStopReportsNotRunOnlyIfCertain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	j := joiner.New(joiner.Limits{Grace: time.Second, Keep: time.Minute, MaxBytes: 1 << 20})
--- a/joiner/run.go
+++ b/joiner/run.go
@@ -13,91 +13,94 @@
 
 // Errors of a run. Compare with errors.Is.
 var (
-	// ErrStopped says that the run was stopped before it was dispatched.
+	// ErrStopped is returned if the run was stopped before its dispatch.
 	ErrStopped = merry.Sentinel("the run was stopped before its dispatch")
-	// ErrPassed says that bytes of another run have been passed on.
+	// ErrStreamChanged is returned if a waiter already got bytes of another stream.
 	ErrPassed = merry.Sentinel("bytes of another run have been passed on")
-	// ErrGap says that bytes of an answer are missing.
+	// ErrGap is returned if bytes of the response are missing.
 	ErrGap = merry.Sentinel("bytes of the answer are missing")
 )
 
-// Answer is what an endpoint answered, once it is whole.
+// Answer describes a complete response of an endpoint.
 type Answer struct {
 	Endpoint     string
 	PromptTokens int64
 	AnswerTokens int64
 	Length       int64
-	// Digest is the SHA-256 sum of the answer's bytes, in hex.
+	// Digest is the SHA-256 sum of the response's bytes, in hex.
 	Digest       string
 	FinishReason string
-	// Charged is set once the bill is durable.
+	// Charged is the billed amount, set once the charge is durable.
 	Charged rattanhoist.Tokens
-	// Status and Header belong to the answer of a plain service.
+	// Status and Header are those of the response of a plain HTTP service.
 	Status int
 	Header http.Header
 }
 
-// Stream names a run at an engine, so that it can be resumed; an empty id
-// can't be.
+// Stream identifies a response stream at an engine for resuming it. A stream
+// with an empty id can't be resumed.
 type Stream struct{ ID, Endpoint string }
 
-// Run is one run of a request with the bytes of its answer so far. Any number
-// of waiters read it from the first byte on. Safe for concurrent use.
+// Run is the execution of a request with the bytes of its response so far. Any
+// number of waiters can read it from the first byte. It is safe for concurrent
+// use.
 type Run struct {
 	mu sync.Mutex
-	// Dispatches counts those that were not taken back.
+	// dispatches counts the dispatches that were not undone.
 	dispatches int
 	stopped    bool
-	// Proven says that no earlier attempt of the request can have run.
+	// proven is set if no earlier attempt of the request can have run.
 	proven bool
-	// Text is only appended to, so that waiters share its bytes; Restart,
-	// which no reader has seen bytes before, makes a new one.
+	// text is append-only, so that waiters can share its bytes. Begin replaces
+	// it, but only while no waiter has got any bytes; so does end on an error.
 	text []byte
-	// Visible is how many bytes waiters may have: all but the last character
-	// until the answer is whole and billed.
+	// visible is the number of bytes that waiters may read: all but the last
+	// character until the response is complete and billed.
 	visible int
-	// Seen is how many bytes a waiter has had.
-	seen   int
-	stream Stream
-	// Following says that the bytes come from another router's run.
+	// delivered is the highest number of bytes that a waiter has read.
+	delivered int
+	stream    Stream
+	// following is set if the bytes come from another router's run.
 	following bool
 	ended     bool
 	answer    *Answer
 	err       error
-	// Changed is closed and replaced at every change.
-	changed chan struct{}
-	// Context ends when the run may not go on.
+	// updated is closed and replaced at every change.
+	updated chan struct{}
+	// context is cancelled when the run must not continue.
 	context context.Context
 	cancel  context.CancelFunc
 }
 
 func newRun() *Run {
-	r := &Run{changed: make(chan struct{})}
+	r := &Run{updated: make(chan struct{})}
 	r.context, r.cancel = context.WithCancel(context.Background())
 	return r
 }
 
-// Context returns the context of the run's work.
+// Context returns the context in which the run is executed.
 func (r *Run) Context() context.Context { return r.context }
 
+// update calls f with the lock held and wakes the waiters.
 func (r *Run) update(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
-	close(r.changed)
-	r.changed = make(chan struct{})
+	close(r.updated)
+	r.updated = make(chan struct{})
 }
 
-// Prove says that no earlier attempt of the request can have run, so that
-// Stop proves that the request did not run.
+// MarkFirstAttempt records that no earlier attempt of the request can have run.
+// After that, a successful Stop proves that the request did not run.
 func (r *Run) Prove() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.proven = true
 }
 
-// Dispatch marks that an endpoint may get the request from now on; it returns
-// ErrStopped where a waiter was told that the request did not run.
+// Dispatch records that the request is about to be sent to an endpoint. It
+// returns ErrStopped if the run was stopped, because a waiter may have been told
+// that the request did not run.
 func (r *Run) Dispatch() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,15 +111,17 @@
 	return nil
 }
 
-// Undispatch takes one Dispatch back: the endpoint provably did not get it.
+// UndoDispatch undoes one Dispatch whose request certainly did not reach the
+// endpoint.
 func (r *Run) Undispatch() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dispatches--
 }
 
-// Stop keeps the run from being dispatched. Stopped reports whether this run
-// never is; proven, whether moreover no earlier one can have been.
+// Stop prevents the run from being dispatched. stopped reports whether this run
+// will never be dispatched; proven reports whether, in addition, no earlier
+// attempt of the request can have run.
 func (r *Run) Stop() (stopped, proven bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,16 +132,17 @@
 	return true, r.proven
 }
 
-// Begin takes the stream that the bytes come from. Bytes of another run that
-// nobody has seen are dropped; once seen, ErrPassed is returned, because a
-// reader would get an answer pieced together from two runs.
+// Begin sets the stream from which the bytes come. If it differs from the
+// previous stream, the previous bytes are discarded. If a waiter has already read
+// some of them, Begin returns ErrStreamChanged instead, because the waiter would
+// get a response mixed from two streams.
 func (r *Run) Begin(s Stream) error {
 	var err error
 	r.update(func() {
 		if s.ID != "" && s == r.stream {
 			return
 		}
-		if r.seen > 0 {
+		if r.delivered > 0 {
 			err = ErrPassed
 			return
 		}
@@ -145,7 +151,7 @@
 	return err
 }
 
-// Follow says whether the bytes come from another router's run.
+// SetFollowing sets whether the bytes come from another router's run.
 func (r *Run) Follow(following bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -159,23 +165,23 @@
 	return r.following
 }
 
-// Stream returns where the bytes come from.
+// Stream returns the stream from which the bytes come.
 func (r *Run) Stream() Stream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.stream
 }
 
-// Length returns the bytes that have come.
+// Length returns the number of bytes received so far.
 func (r *Run) Length() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return int64(len(r.text))
 }
 
-// Append takes the bytes at an offset; those that are there already, of the
-// same run, are passed over. It returns ErrGap when bytes are missing before
-// them. The last character is held back until the answer is billed.
+// Append adds the bytes at an offset of the response and skips those already
+// present. It returns ErrGap if bytes before the offset are missing. The last
+// character is held back from waiters until the response is billed.
 func (r *Run) Append(offset int64, text string) error {
 	var err error
 	r.update(func() {
@@ -194,14 +200,14 @@
 	return err
 }
 
-// Seen reports whether a waiter has had bytes.
+// AnyDelivered reports whether a waiter has read any bytes.
 func (r *Run) Seen() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.seen > 0
+	return r.delivered > 0
 }
 
-// end ends the run with a whole answer or an error.
+// end ends the run with a complete response or an error.
 func (r *Run) end(a *Answer, err error) {
 	r.update(func() {
 		r.ended, r.answer, r.err = true, a, err
@@ -209,17 +215,17 @@
 			r.visible = len(r.text)
 			return
 		}
-		// A failed run is remembered, its bytes are not.
+		// The entry of a failed run is kept, but not its bytes.
 		r.text, r.visible = nil, 0
 	})
 	r.cancel()
 }
 
-// Next returns the bytes from an offset on, waiting for some or for the end.
-// Callers must not change them.
+// Next returns the bytes from an offset on. It blocks until there are any or the
+// run has ended. Callers must not modify the bytes.
 func (r *Run) Next(ctx context.Context, offset int) (text []byte, ended bool, err error) {
 	for {
-		text, ended, changed := r.view(offset)
+		text, ended, changed := r.available(offset)
 		if len(text) > 0 || ended {
 			return text, ended, nil
 		}
@@ -231,22 +237,24 @@
 	}
 }
 
-func (r *Run) view(offset int) ([]byte, bool, <-chan struct{}) {
+// available returns the visible bytes from an offset on, or, if there are none,
+// whether the run has ended and a channel that is closed at the next change.
+func (r *Run) available(offset int) ([]byte, bool, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if offset >= r.visible {
-		return nil, r.ended, r.changed
+		return nil, r.ended, r.updated
 	}
-	r.seen = max(r.seen, r.visible)
-	return r.text[offset:r.visible:r.visible], false, r.changed
+	r.delivered = max(r.delivered, r.visible)
+	return r.text[offset:r.visible:r.visible], false, r.updated
 }
 
-// Wait waits for the end without reading bytes, so that the run may still be
-// started anew.
+// Wait waits for the end of the run without reading bytes, so that the run can
+// still switch to another stream.
 func (r *Run) Wait(ctx context.Context) error {
 	for {
 		r.mu.Lock()
-		ended, changed := r.ended, r.changed
+		ended, changed := r.ended, r.updated
 		r.mu.Unlock()
 		if ended {
 			return nil
@@ -259,7 +267,7 @@
 	}
 }
 
-// Answer returns how the run ended.
+// Answer returns the response or the error with which the run ended.
 func (r *Run) Answer() (*Answer, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
