--- a/matcher/matcher.go
+++ b/matcher/matcher.go
@@ -1,6 +1,6 @@
 // Package matcher parses label selectors and matches them against labels.
 //
-// A selector is a list of terms joined by commas, all of which must hold:
+// A selector is a comma-separated list of terms, all of which must match:
 // key=value, key!=value, key in (a, b), key notin (a, b), key (exists) and
 // !key (does not exist). The empty selector matches everything.
 package matcher
@@ -12,7 +12,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrSyntax says that a selector does not parse.
+// ErrSyntax is returned for selectors that can't be parsed.
 var ErrSyntax = merry.Sentinel("selector syntax error")
 
 type operator int
@@ -32,9 +32,9 @@
 	values []string
 }
 
-// Selector is a parsed selector; immutable.
+// Selector is an immutable parsed selector.
 type Selector struct {
-	// Terms must all hold.
+	// terms must all match.
 	terms []term
 }
 
@@ -51,7 +51,7 @@
 	return s, nil
 }
 
-// Matches reports whether every term holds for the labels.
+// Matches reports whether every term matches the labels.
 func (s Selector) Matches(labels map[string]string) bool {
 	for _, t := range s.terms {
 		if !t.holds(labels) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// splitTerms cuts at commas outside parentheses.
+// splitTerms splits a selector at commas outside parentheses.
 func splitTerms(text string) []string {
 	var parts []string
 	depth, start := 0, 0
@@ -146,8 +146,8 @@
 	return t, nil
 }
 
-// ValidWord reports whether a key or a value can stand in a selector: letters,
-// digits and "-_./", at least one.
+// ValidWord reports whether w is valid as a key or value in a selector: one or
+// more letters, digits or characters of "-_./".
 func ValidWord(w string) bool {
 	ok := func(r rune) bool {
 		return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("-_./", r)
--- a/matcher/satisfiable.go
+++ b/matcher/satisfiable.go
@@ -2,18 +2,19 @@
 
 import "slices"
 
-// Satisfiable reports whether any labels at all could match: a selector such
-// as "a=x,!a" never does.
+// Satisfiable reports whether any set of labels matches the selector. For
+// example, "a=x,!a" is unsatisfiable.
 func (s Selector) Satisfiable() bool {
 	for _, t := range s.terms {
-		if !s.satisfiable(t.key) {
+		if !s.keySatisfiable(t.key) {
 			return false
 		}
 	}
 	return true
 }
 
-func (s Selector) satisfiable(key string) bool {
+// keySatisfiable reports whether the terms for a key don't contradict each other.
+func (s Selector) keySatisfiable(key string) bool {
 	var absent, exists, listed bool
 	var allowed, denied []string
 	for _, t := range s.terms {
@@ -39,6 +40,7 @@
 	return !listed || slices.ContainsFunc(allowed, left)
 }
 
+// intersect returns the values in both a and b, or b if a is not known.
 func intersect(a, b []string, known bool) []string {
 	if !known {
 		return b
