--- a/ejector/ejector.go
+++ b/ejector/ejector.go
@@ -1,5 +1,6 @@
-// Package ejector takes endpoints that fail out of service and probes them
-// back, one request at a time.
+// Package ejector implements a circuit breaker for each endpoint: it ejects
+// endpoints that fail repeatedly and readmits them after a successful probe,
+// which is a single regular request.
 package ejector
 
 import (
@@ -10,43 +11,49 @@
 
 // Bounds of ejection.
 const (
-	// failuresToEject is how many failures in a row eject an endpoint.
+	// failuresToEject is the number of consecutive failures after which an
+	// endpoint is ejected.
 	failuresToEject = 3
-	firstEjection   = time.Second
-	longestEjection = 30 * time.Second
-	// maxDoublings reaches longestEjection and keeps the shift in range.
+	minEjection     = time.Second
+	maxEjection     = 30 * time.Second
+	// maxDoublings is enough to reach maxEjection and prevents an overflow of
+	// the shift.
 	maxDoublings = 5
-	// probeTimeout lets another probe out when one never ended.
+	// probeTimeout is the time after which another probe is sent if the end
+	// of the last one was never recorded.
 	probeTimeout = 10 * time.Second
 )
 
-// Event is what happened at an endpoint.
+// Event is an event at an endpoint.
 type Event int
 
 // Events of an endpoint.
 const (
-	// Succeeded says that a run ended well.
+	// Succeeded means that a run ended successfully.
 	Succeeded Event = iota
-	// Failed says that a run failed through the endpoint's own fault.
+	// Failed means that a run failed because of the endpoint.
 	Failed
-	// Dispatched says that a request was sent.
+	// Dispatched means that a request was sent.
 	Dispatched
 )
 
-// State is what is remembered of one endpoint. The zero value is in service.
+// State is the circuit breaker state of one endpoint. The zero value is in
+// service.
 type State struct {
 	failures  int
 	ejections int
-	// BlockedUntil is 0 in service; otherwise no request may be sent before
-	// it, and the first one after it is a probe.
+	// blockedUntil is 0 while the endpoint is in service. Otherwise no request
+	// may be sent before it, and the first one after it is a probe.
 	blockedUntil time.Duration
 }
 
-// BlockedUntil returns the time before which nothing may be sent, or 0.
+// BlockedUntil returns the time before which no request may be sent, or 0 while
+// the endpoint is in service.
 func (s State) BlockedUntil() time.Duration { return s.blockedUntil }
 
-// Step returns the state after an event. Now counts from any fixed instant;
-// random in [0, 1) spreads the probes of routers that ejected together.
+// Step returns the state after an event. now is the time since an arbitrary
+// fixed instant; random in [0, 1) is the jitter that spreads the probes of
+// routers that ejected the endpoint at the same time.
 func (s State) Step(now time.Duration, e Event, random float64) State {
 	switch e {
 	case Succeeded:
@@ -61,47 +68,50 @@
 	}
 }
 
+// fail returns the state after a failure. Each ejection doubles the time until
+// the next probe.
 func (s State) fail(now time.Duration, random float64) State {
 	s.failures++
 	if s.failures < failuresToEject {
 		return s
 	}
-	d := min(firstEjection<<min(s.ejections, maxDoublings), longestEjection)
+	d := min(minEjection<<min(s.ejections, maxDoublings), maxEjection)
 	s.ejections++
 	s.blockedUntil = now + d + time.Duration(random*float64(d)/2)
 	return s
 }
 
-// Gate holds one endpoint's state for concurrent use; reading it takes no
-// lock. The zero value is in service.
+// Gate holds the State of one endpoint for concurrent use; reads are lock-free.
+// The zero value is in service.
 type Gate struct {
-	// Until mirrors the state's blockedUntil.
-	until atomic.Int64
-	// Failing mirrors whether the state differs from the zero value.
+	// blockedUntil mirrors state.blockedUntil.
+	blockedUntil atomic.Int64
+	// failing mirrors whether state differs from the zero value.
 	failing atomic.Bool
 	mu      sync.Mutex
 	state   State
 }
 
-// Blocked reports whether nothing may be sent now.
-func (g *Gate) Blocked(now time.Duration) bool { return g.until.Load() > int64(now) }
+// Blocked reports whether no request may be sent at the given time.
+func (g *Gate) Blocked(now time.Duration) bool { return g.blockedUntil.Load() > int64(now) }
 
-// Ejected reports whether the next request would be a probe, or none may be
-// sent at all.
-func (g *Gate) Ejected() bool { return g.until.Load() != 0 }
+// Ejected reports whether the endpoint is ejected: either it is blocked or the
+// next request is a probe.
+func (g *Gate) Ejected() bool { return g.blockedUntil.Load() != 0 }
 
-// ProbeDue returns for how long a probe has been due; 0 where none is.
+// ProbeDue returns how long a probe has been due, or 0 if none is due.
 func (g *Gate) ProbeDue(now time.Duration) time.Duration {
-	until := time.Duration(g.until.Load())
+	until := time.Duration(g.blockedUntil.Load())
 	if until == 0 || now < until {
 		return 0
 	}
 	return now - until
 }
 
-// Step takes an event in. An endpoint in good order costs no lock.
+// Step applies an event to the state. For an endpoint without failures it
+// doesn't lock.
 func (g *Gate) Step(now time.Duration, e Event, random float64) {
-	if e == Dispatched && g.until.Load() == 0 {
+	if e == Dispatched && g.blockedUntil.Load() == 0 {
 		return
 	}
 	if e == Succeeded && !g.failing.Load() {
@@ -111,5 +121,5 @@
 	defer g.mu.Unlock()
 	g.state = g.state.Step(now, e, random)
 	g.failing.Store(g.state != State{})
-	g.until.Store(int64(g.state.blockedUntil))
+	g.blockedUntil.Store(int64(g.state.blockedUntil))
 }
--- a/ejector/ejector_test.go
+++ b/ejector/ejector_test.go
@@ -43,9 +43,8 @@
 	gomega.Expect(s.Step(now, ejector.Succeeded, 0)).To(gomega.Equal(ejector.State{}))
 })
 
-// Symptom: an endpoint that recovered gets no work for ever.
-// Sequence: its probe is dispatched; the router loses it and no end is noted.
-// Cause: one probe at a time, and this one never ends.
+// Guards against keeping a recovered endpoint ejected forever: only one probe is
+// sent at a time, and the end of a probe that the router loses is never recorded.
 var _ = ginkgo.It("follows a lost probe by another", func() {
 	var x ejector.Gate
 	for range 3 {
