--- a/admitter/admitter_test.go
+++ b/admitter/admitter_test.go
@@ -139,7 +139,7 @@
 	g.Expect(out).To(gomega.ConsistOf(gomega.HaveField("Verdict", admitter.Full)))
 	out = q.Step(0, arrive(request(4, "c", 1, time.Hour), 1, 1))
 	g.Expect(out).To(gomega.HaveLen(1))
-	g.Expect(out[0].ID).NotTo(gomega.Equal(uint64(4)), "one of lower priority is refused")
+	g.Expect(out[0].ID).NotTo(gomega.Equal(uint64(4)), "a request of lower priority is evicted")
 	g.Expect(drain(q, 0)[0]).To(gomega.Equal(uint64(4)))
 }
 
@@ -162,7 +162,7 @@
 	}
 	g.Expect(refused).To(gomega.BeTrue())
 	refused, _ = s.Shed(time.Hour, r, admitter.Forecast{Fill: 1})
-	g.Expect(refused).To(gomega.BeFalse(), "past its validity the share counts for nothing")
+	g.Expect(refused).To(gomega.BeFalse(), "the rejected fraction is reset after its validity")
 }
 
 // Guards against bounding retries per request only and not per service, which
@@ -259,7 +259,7 @@
 		return drain(q, 0)
 	}
 	g.Expect(order(false)).To(gomega.Equal([]uint64{0, 1, 2, 3}))
-	g.Expect(order(true)).To(gomega.Equal([]uint64{0, 3, 1, 2}), "shared by tokens once one was refused")
+	g.Expect(order(true)).To(gomega.Equal([]uint64{0, 3, 1, 2}), "shared by tokens after a rejection")
 }
 
 // Guards against earliest-deadline-first order regardless of slack, where a burst
@@ -288,5 +288,5 @@
 	g.Expect(near(1)).To(gomega.BeEmpty())
 	out := q.Step(0, arrive(request(2, "w", 0, 1500*time.Millisecond), 1, 1))
 	g.Expect(out).To(gomega.ConsistOf(gomega.HaveField("Verdict", admitter.Shed)))
-	g.Expect(near(3)).To(gomega.ConsistOf(gomega.HaveField("Verdict", admitter.Shed)), "one was refused just now")
+	g.Expect(near(3)).To(gomega.ConsistOf(gomega.HaveField("Verdict", admitter.Shed)), "a request was rejected just before")
 }
