--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -284,7 +284,7 @@
 	loose.MaxAnswer = 4000
 	e := s.Service().Estimate(loose, l.Since(start.Add(2*time.Second)))
 	g.Expect(e.Service).To(gomega.BeNumerically("~", 3*time.Second, time.Second))
-	g.Expect(s.Service().Estimate(loose, l.Since(start.Add(time.Hour))).Service).To(gomega.BeZero(), "old knowledge refuses nobody")
+	g.Expect(s.Service().Estimate(loose, l.Since(start.Add(time.Hour))).Service).To(gomega.BeZero(), "old samples give no estimate")
 }
 
 // Guards against sending requests to a ten times slower endpoint at which every
