--- a/joiner/joiner_test.go
+++ b/joiner/joiner_test.go
@@ -211,7 +211,7 @@
 	a := joiner.Arrive{Key: rattanhoist.NewRequestKey("w", "a"), Deadline: now.Add(time.Minute), First: true}
 	run, _, _ := j.Arrive(now, a)
 	_, _, _ = j.Arrive(now, a)
-	g.Expect(j.Stop(a.Key, run)).To(gomega.BeFalse(), "another waits")
+	g.Expect(j.Stop(a.Key, run)).To(gomega.BeFalse(), "another waiter is left")
 	j.Leave(now, a.Key, run)
 	g.Expect(run.Dispatch()).To(gomega.Succeed())
 	g.Expect(j.Stop(a.Key, run)).To(gomega.BeFalse(), "dispatched")
@@ -225,5 +225,5 @@
 	j.End(now, a.Key, run, nil, errors.New("broken"))
 	run, begun, _ = j.Arrive(now, a)
 	g.Expect(begun).To(gomega.BeTrue())
-	g.Expect(j.Stop(a.Key, run)).To(gomega.BeFalse(), "an earlier run may have run")
+	g.Expect(j.Stop(a.Key, run)).To(gomega.BeFalse(), "an earlier run may have been dispatched")
 }
