--- a/ejector/ejector_test.go
+++ b/ejector/ejector_test.go
@@ -26,11 +26,11 @@
 
 var _ = ginkgo.It("ejects after three failures in a row", func() {
 	s := failures(ejector.State{}, time.Second, 2).Step(time.Second, ejector.Succeeded, 0)
-	gomega.Expect(failures(s, time.Second, 2).BlockedUntil()).To(gomega.BeZero(), "a success between counts")
+	gomega.Expect(failures(s, time.Second, 2).BlockedUntil()).To(gomega.BeZero(), "a success resets the count")
 	gomega.Expect(failures(s, time.Second, 3).BlockedUntil()).To(gomega.Equal(2 * time.Second))
 })
 
-var _ = ginkgo.It("waits longer after each failed probe, up to a bound", func() {
+var _ = ginkgo.It("doubles the ejection time after each failed probe, up to a maximum", func() {
 	now := time.Second
 	s := failures(ejector.State{}, now, 3)
 	var waits []time.Duration
@@ -45,7 +45,7 @@
 
 // Guards against keeping a recovered endpoint ejected forever: only one probe is
 // sent at a time, and the end of a probe that the router loses is never recorded.
-var _ = ginkgo.It("follows a lost probe by another", func() {
+var _ = ginkgo.It("sends another probe after a lost one", func() {
 	var x ejector.Gate
 	for range 3 {
 		x.Step(time.Second, ejector.Failed, 0)
