--- a/treasurer/account.go
+++ b/treasurer/account.go
@@ -10,228 +10,245 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// call is a lease or a return until its answer comes.
-type call struct {
+// pendingCall is a lease or return that the keeper has not answered.
+type pendingCall struct {
 	sequence uint64
 	tokens   rattanhoist.Tokens
-	// Began is when it was first sent.
+	// began is the time of the first send.
 	began time.Time
 	tries int
-	// Open reports whether an answer may still come; otherwise it is sent
-	// again at resend.
-	open   bool
-	resend time.Time
-	// Overtaken marks a lease after which a return was sent: the keeper may
-	// have passed it over, so its answer says nothing about the zone.
+	// inFlight reports whether an answer may still arrive. Otherwise the call
+	// is sent again at resend.
+	inFlight bool
+	resend   time.Time
+	// overtaken marks a lease after which a return was sent. The keeper may
+	// have skipped such a lease, so its answer does not show what the zone
+	// holds.
 	overtaken bool
 }
 
-// Account is the state machine of one workspace's slice at one incarnation
-// of a router. The slice is safe for concurrent use; Step is not.
+// Account is the state machine that leases rights for one workspace, for one
+// incarnation of a router. The slice is safe for concurrent use; Step is not.
 type Account struct {
 	workspace string
 	policy    *Policy
 	slice     budgeter.Slice
-	// Sequence numbers leases and returns together; it never repeats within
-	// an incarnation, so that the keeper tells a resend from a new request.
+	// sequence numbers leases and returns together. It never repeats within
+	// an incarnation, so that the keeper can tell a resend from a new
+	// request.
 	sequence uint64
-	// Acknowledged is the last sequence whose answer arrived.
+	// acknowledged is the highest sequence that was answered.
 	acknowledged uint64
-	// Lease and back are the calls without an answer. No lease begins while a
-	// return is unanswered: a newer sequence would make the keeper ignore the
-	// return's resend, and the rights would belong to nobody.
-	lease, back *call
-	// Overtaken reports whether the last lease that was answered had been. The
-	// next one then lets no recall overtake it: two dry routers that recall
-	// each other's rights would otherwise both ask for ever, and their requests
-	// wait without an answer. The first round has pooled the rights already.
-	overtaken bool
-	// Refused is what the last lease found, until refusedUntil.
-	refused      *Shortage
-	refusedUntil time.Time
-	// ZoneLeft is what the zone had left when it last answered, or -1.
+	// pendingLease and pendingReturn are the unanswered calls. No lease
+	// starts while a return is unanswered: the keeper would ignore a resend
+	// of the return because of its lower sequence, and the returned rights
+	// would be lost.
+	pendingLease, pendingReturn *pendingCall
+	// lastLeaseOvertaken reports whether a return overtook the last answered
+	// lease. The next lease then ignores recalls. Otherwise two routers
+	// without rights that recall each other's would lease forever, and their
+	// requests would wait without an answer. The first round has already
+	// pooled the rights.
+	lastLeaseOvertaken bool
+	// lastShortage is the shortage that the last lease found. It is valid until
+	// refusedUntil.
+	lastShortage  *Shortage
+	shortageUntil time.Time
+	// zoneLeft is the number of unspent tokens in the zone at the keeper's
+	// last answer, or -1 if unknown.
 	zoneLeft rattanhoist.Tokens
-	// Size is the size of recent requests.
-	size rattanhoist.Tokens
-	// LowMark is what the slice should hold at least; read by requests.
+	// requestSize is the decaying maximum of recent request sizes.
+	requestSize rattanhoist.Tokens
+	// lowMark is the number of tokens below which the slice is refilled.
+	// Requests read it concurrently.
 	lowMark atomic.Int64
-	meter   meter
+	meter   demandMeter
 }
 
-// meter measures a workspace's demand at this router.
-type meter struct {
-	// Rate is in tokens a second.
+// demandMeter measures a workspace's demand at this router.
+type demandMeter struct {
+	// rate is the moving average of demand in tokens per second.
 	rate float64
-	// Unmet is what was refused since the last tick: demand that no spending
-	// shows.
+	// unmet counts tokens refused since the last tick. This is demand that
+	// spending does not show.
 	unmet     rattanhoist.Tokens
 	lastSpent rattanhoist.Tokens
 	lastTick  time.Time
-	// LastUse is when the slice was last seen in use.
+	// lastUse is the last time at which the slice was seen in use.
 	lastUse time.Time
 }
 
-// Rest is what remains of an account without rights, to go on from: totals
-// and sequences must not begin anew within an incarnation.
+// Totals holds the counters of a retired account. A new account for the
+// workspace continues from them, because totals and sequences must not
+// restart within an incarnation.
 type Rest struct {
 	sequence                  uint64
 	granted, withdrawn, spent rattanhoist.Tokens
 }
 
-// NewAccount returns an account that holds nothing and goes on from r.
+// NewAccount returns an account without rights that continues from the totals
+// r.
 func NewAccount(workspace string, p *Policy, now time.Time, r Rest) *Account {
 	a := &Account{
 		workspace: workspace, policy: p, zoneLeft: -1,
 		sequence: r.sequence, acknowledged: r.sequence,
-		meter: meter{lastTick: now, lastUse: now, lastSpent: r.spent},
+		meter: demandMeter{lastTick: now, lastUse: now, lastSpent: r.spent},
 	}
 	a.slice.Resume(r.granted, r.withdrawn, r.spent)
 	return a
 }
 
-// Rest returns what to go on from; the account must hold nothing.
-func (a *Account) Rest() Rest {
+// Totals returns the counters for a later account to continue from. The
+// account must hold no rights.
+func (a *Account) Totals() Rest {
 	return Rest{sequence: a.sequence, granted: a.slice.Granted(), withdrawn: a.slice.Withdrawn(), spent: a.slice.Spent()}
 }
 
-// Slice returns the rights that requests reserve from.
+// Slice returns the leased rights from which requests reserve.
 func (a *Account) Slice() *budgeter.Slice { return &a.slice }
 
-// Workspace returns the workspace that pays.
+// Workspace returns the workspace whose budget is spent.
 func (a *Account) Workspace() string { return a.workspace }
 
-// Low reports whether the slice should be filled up.
+// BelowLowMark reports whether the slice should be refilled.
 func (a *Account) Low() bool { return a.slice.Below(rattanhoist.Tokens(a.lowMark.Load())) }
 
-// Demand returns recent demand in tokens a second.
+// Demand returns the recent demand in tokens per second.
 func (a *Account) Demand() float64 { return a.meter.rate }
 
-// Step handles one event.
+// Step applies an event and returns the actions that it requires.
 func (a *Account) Step(now time.Time, e Event) []Action {
 	switch e := e.(type) {
 	case Need:
-		return a.need(now, e)
+		return a.handleNeed(now, e)
 	case Leased:
-		a.leased(now, e)
+		a.handleLeased(now, e)
 	case Returned:
-		a.returned(e)
+		a.handleReturned(e)
 	case Failed:
-		a.failed(now, e)
+		a.handleFailed(now, e)
 	case Recall:
-		return a.recall(now, e)
+		return a.handleRecall(now, e)
 	case Tick:
-		return a.tick(now)
+		return a.handleTick(now)
 	}
 	return nil
 }
 
-// need leases, waits or refuses. A refusal that is known is repeated with its
-// age, so that a spent budget costs the keeper one call for each RefusalAge
-// and not one for each request.
-func (a *Account) need(now time.Time, e Need) []Action {
-	a.size = max(e.Tokens, a.size-a.size/8)
+// handleNeed starts a lease, waits for a pending call or refuses. A known
+// refusal is repeated with its age, so that a spent budget costs the keeper
+// one call per RefusalAge instead of one per request.
+func (a *Account) handleNeed(now time.Time, e Need) []Action {
+	a.requestSize = max(e.Tokens, a.requestSize-a.requestSize/8)
 	a.meter.lastUse = now
-	if a.refused != nil && now.Before(a.refusedUntil) {
-		return a.settleOrRefuse(now, e)
+	if a.lastShortage != nil && now.Before(a.shortageUntil) {
+		return a.waitForOthersOrRefuse(now, e)
 	}
-	if c := a.pending(); c != nil {
-		return append(a.resendDue(now), a.waitOrGiveUp(now, e, c))
+	if c := a.openCall(); c != nil {
+		return append(a.resendDue(now), a.waitForCall(now, e, c))
 	}
-	want := max(e.Waiting, e.Tokens) - a.slice.Left() + a.ahead(e.Tokens)
+	want := max(e.Waiting, e.Tokens) - a.slice.Left() + a.leaseAhead(e.Tokens)
 	out := a.startLease(now, max(want, 1))
-	return append(out, a.waitOrGiveUp(now, e, a.lease))
+	return append(out, a.waitForCall(now, e, a.pendingLease))
 }
 
-// waitOrGiveUp bounds the wait for a call: by the keeper's silence, and by the
-// time that the request itself has.
-func (a *Account) waitOrGiveUp(now time.Time, e Need, c *call) Action {
+// waitForCall makes a request wait for a pending call. It refuses once the
+// keeper has been silent for KeeperWait, or at the request's own deadline.
+func (a *Account) waitForCall(now time.Time, e Need, c *pendingCall) Action {
 	if !now.Before(c.began.Add(a.policy.KeeperWait)) {
 		a.meter.unmet += e.Tokens
-		return Refuse{Err: a.silence(now, c)}
+		return Refuse{Err: a.keeperUnreachable(now, c)}
 	}
 	if !now.Before(e.GiveUp) {
 		a.meter.unmet += e.Tokens
-		return Refuse{Err: outOfReach(now, afterSettlement, "no rights came within the request's time")}
+		return Refuse{Err: newOutOfReach(now, retryAfterSettlement, "no rights came within the request's time")}
 	}
-	until := a.patience(c)
+	until := a.nextCheck(c)
 	if e.GiveUp.Before(until) {
 		until = e.GiveUp
 	}
 	return Wait{Until: until}
 }
 
-// patience is when a request that waits for a call should look again.
-func (a *Account) patience(c *call) time.Time {
+// nextCheck returns when a request that waits for a call should check again.
+func (a *Account) nextCheck(c *pendingCall) time.Time {
 	end := c.began.Add(a.policy.KeeperWait)
-	if !c.open && c.resend.Before(end) {
+	if !c.inFlight && c.resend.Before(end) {
 		return c.resend
 	}
 	return end
 }
 
-func (a *Account) pending() *call {
-	if a.back != nil {
-		return a.back
+// openCall returns the unanswered call, or nil. A return takes precedence.
+func (a *Account) openCall() *pendingCall {
+	if a.pendingReturn != nil {
+		return a.pendingReturn
 	}
-	return a.lease
+	return a.pendingLease
 }
 
-// settleOrRefuse waits while rights that others hold, or requests in progress
-// here, may still cover the request, asking again after every RefusalAge. Else
-// it refuses at once: rights that can't cover it anyway are no reason to wait.
-func (a *Account) settleOrRefuse(now time.Time, e Need) []Action {
-	covers := a.slice.Left()+a.slice.Reserved()+a.refused.possible >= e.Tokens
+// waitForOthersOrRefuse waits while rights held by others, or reserved by
+// running requests here, may still cover the request; it leases again after
+// every RefusalAge. If these rights can't cover the request it refuses at
+// once.
+func (a *Account) waitForOthersOrRefuse(now time.Time, e Need) []Action {
+	covers := a.slice.Left()+a.slice.Reserved()+a.lastShortage.obtainable >= e.Tokens
 	if covers && now.Before(e.GiveUp) {
-		until := a.refusedUntil
+		until := a.shortageUntil
 		if e.GiveUp.Before(until) {
 			until = e.GiveUp
 		}
 		return []Action{Wait{Until: until}}
 	}
 	a.meter.unmet += e.Tokens
-	if !covers && !a.refused.silent {
-		return []Action{Refuse{Err: spentOut(a.refused.known).at(now)}}
+	if !covers && !a.lastShortage.zonesUnreachable {
+		return []Action{Refuse{Err: newSpent(a.lastShortage.foundAt).withAge(now)}}
 	}
-	return []Action{Refuse{Err: a.refused.at(now)}}
+	return []Action{Refuse{Err: a.lastShortage.withAge(now)}}
 }
 
-func (*Account) silence(now time.Time, c *call) *Shortage {
-	return outOfReach(c.began, afterRepair, "the zone's keeper does not answer").at(now)
+// keeperUnreachable returns the shortage for a call that the keeper does not
+// answer.
+func (*Account) keeperUnreachable(now time.Time, c *pendingCall) *Shortage {
+	return newOutOfReach(c.began, retryAfterRepair, "the zone's keeper does not answer").withAge(now)
 }
 
-// ahead is what a lease asks for beyond the need, bounded by what the zone
-// can spare.
-func (a *Account) ahead(n rattanhoist.Tokens) rattanhoist.Tokens {
-	want := max(a.perSeconds(a.policy.Horizon), n*rattanhoist.Tokens(a.policy.LeaseAhead-1))
+// leaseAhead returns the number of tokens that a lease requests beyond the
+// immediate need, limited to ZoneFraction of what the zone has left.
+func (a *Account) leaseAhead(n rattanhoist.Tokens) rattanhoist.Tokens {
+	want := max(a.demandOver(a.policy.Horizon), n*rattanhoist.Tokens(a.policy.LeaseAhead-1))
 	if a.zoneLeft >= 0 {
 		want = min(want, rattanhoist.Tokens(float64(a.zoneLeft)*a.policy.ZoneFraction))
 	}
 	return want
 }
 
-func (a *Account) perSeconds(d time.Duration) rattanhoist.Tokens {
+// demandOver returns the expected demand within d.
+func (a *Account) demandOver(d time.Duration) rattanhoist.Tokens {
 	return rattanhoist.Tokens(math.Ceil(a.meter.rate * d.Seconds()))
 }
 
+// startLease sends a lease for the wanted tokens under a new sequence.
 func (a *Account) startLease(now time.Time, want rattanhoist.Tokens) []Action {
 	a.sequence++
-	a.lease = &call{sequence: a.sequence, tokens: want, began: now, open: true}
+	a.pendingLease = &pendingCall{sequence: a.sequence, tokens: want, began: now, inFlight: true}
 	return []Action{a.sendLease()}
 }
 
 func (a *Account) sendLease() Action {
-	return SendLease{Sequence: a.lease.sequence, Want: a.lease.tokens, Demand: int64(math.Ceil(a.meter.rate))}
+	return SendLease{Sequence: a.pendingLease.sequence, Want: a.pendingLease.tokens, Demand: int64(math.Ceil(a.meter.rate))}
 }
 
-// leased books the grant. The keeper's total also brings rights of a lease
-// whose own answer was lost after a return had overtaken it.
-func (a *Account) leased(now time.Time, e Leased) {
-	c := a.lease
+// handleLeased adds the granted rights to the slice. The keeper's total also
+// covers the grant of an earlier lease whose answer was lost after a return
+// had overtaken it.
+func (a *Account) handleLeased(now time.Time, e Leased) {
+	c := a.pendingLease
 	if c == nil || c.sequence != e.Sequence {
 		return
 	}
-	a.lease = nil
-	a.overtaken = c.overtaken
+	a.pendingLease = nil
+	a.lastLeaseOvertaken = c.overtaken
 	a.acknowledged = max(a.acknowledged, e.Sequence)
 	r := e.Reply
 	n := rattanhoist.Tokens(r.GrantedTokens)
@@ -242,80 +259,84 @@
 		a.slice.Grant(n)
 	}
 	a.zoneLeft = rattanhoist.Tokens(r.ZoneLeftTokens)
-	a.refused = nil
+	a.lastShortage = nil
 	if n < c.tokens && !c.overtaken {
-		a.refused = a.shortage(now, r)
-		a.refusedUntil = now.Add(a.policy.RefusalAge)
+		a.lastShortage = a.newShortage(now, r)
+		a.shortageUntil = now.Add(a.policy.RefusalAge)
 	}
 }
 
-// shortage notes what a lease that brought too little has found: rights that
-// exist and may come, or zones that may hold more and do not answer.
-func (*Account) shortage(now time.Time, r *messenger.LeaseReply) *Shortage {
+// newShortage describes why a lease granted less than requested: rights exist
+// and may be freed, or zones that may hold more do not answer.
+func (*Account) newShortage(now time.Time, r *messenger.LeaseReply) *Shortage {
 	possible := rattanhoist.Tokens(r.ZoneLeftTokens + r.HeldTokens)
 	if len(r.UnreachableZones) > 0 {
-		s := outOfReach(now, afterRepair, "zones do not answer: "+join(r.UnreachableZones))
-		s.possible, s.silent = possible, true
+		s := newOutOfReach(now, retryAfterRepair, "zones do not answer: "+joinZones(r.UnreachableZones))
+		s.obtainable, s.zonesUnreachable = possible, true
 		return s
 	}
-	s := outOfReach(now, afterSettlement, "requests in progress, or other zones, hold the remaining rights")
-	s.possible = possible + rattanhoist.Tokens(r.ElsewhereTokens)
+	s := newOutOfReach(now, retryAfterSettlement, "requests in progress, or other zones, hold the remaining rights")
+	s.obtainable = possible + rattanhoist.Tokens(r.ElsewhereTokens)
 	return s
 }
 
-func (a *Account) returned(e Returned) {
-	if a.back != nil && a.back.sequence == e.Sequence {
+// handleReturned completes the pending return.
+func (a *Account) handleReturned(e Returned) {
+	if a.pendingReturn != nil && a.pendingReturn.sequence == e.Sequence {
 		a.acknowledged = max(a.acknowledged, e.Sequence)
-		a.back = nil
+		a.pendingReturn = nil
 	}
 }
 
-// failed keeps the call: the keeper may have carried it out, so only the same
-// sequence may be sent again.
-func (a *Account) failed(now time.Time, e Failed) {
-	for _, c := range []*call{a.lease, a.back} {
+// handleFailed schedules a resend under the same sequence, because the keeper
+// may have carried the call out.
+func (a *Account) handleFailed(now time.Time, e Failed) {
+	for _, c := range []*pendingCall{a.pendingLease, a.pendingReturn} {
 		if c != nil && c.sequence == e.Sequence {
-			c.open = false
-			c.resend = now.Add(a.policy.pause(c.tries))
+			c.inFlight = false
+			c.resend = now.Add(a.policy.backoff(c.tries))
 			c.tries++
 		}
 	}
 }
 
+// resendDue resends the unanswered calls whose pause has passed.
 func (a *Account) resendDue(now time.Time) []Action {
 	var out []Action
-	if c := a.back; c != nil && !c.open && !now.Before(c.resend) {
-		c.open = true
+	if c := a.pendingReturn; c != nil && !c.inFlight && !now.Before(c.resend) {
+		c.inFlight = true
 		out = append(out, SendReturn{Sequence: c.sequence, Tokens: c.tokens})
 	}
-	if c := a.lease; c != nil && !c.open && !now.Before(c.resend) {
-		c.open = true
+	if c := a.pendingLease; c != nil && !c.inFlight && !now.Before(c.resend) {
+		c.inFlight = true
 		out = append(out, a.sendLease())
 	}
 	return out
 }
 
-// recall gives rights back for a sibling. It overtakes a lease in progress:
-// two routers that lease at once would otherwise each wait for the other.
-func (a *Account) recall(now time.Time, e Recall) []Action {
-	if a.back != nil {
+// handleRecall returns rights so that another router can lease them. The
+// return may overtake a lease in progress: otherwise two routers that lease
+// at the same time would wait for each other.
+func (a *Account) handleRecall(now time.Time, e Recall) []Action {
+	if a.pendingReturn != nil {
 		return a.resendDue(now)
 	}
-	if a.lease != nil && a.overtaken {
+	if a.pendingLease != nil && a.lastLeaseOvertaken {
 		return nil
 	}
-	return a.giveBack(now, e.Tokens)
+	return a.startReturn(now, e.Tokens)
 }
 
-func (a *Account) giveBack(now time.Time, n rattanhoist.Tokens) []Action {
+// startReturn withdraws up to n unreserved tokens and sends them back.
+func (a *Account) startReturn(now time.Time, n rattanhoist.Tokens) []Action {
 	n = a.slice.Withdraw(n)
 	if n <= 0 {
 		return nil
 	}
 	a.sequence++
-	a.back = &call{sequence: a.sequence, tokens: n, began: now, open: true}
-	if a.lease != nil {
-		a.lease.overtaken = true
+	a.pendingReturn = &pendingCall{sequence: a.sequence, tokens: n, began: now, inFlight: true}
+	if a.pendingLease != nil {
+		a.pendingLease.overtaken = true
 	}
 	return []Action{SendReturn{Sequence: a.sequence, Tokens: n}}
 }
--- a/treasurer/event.go
+++ b/treasurer/event.go
@@ -7,34 +7,34 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Event is something that happens to an account.
+// Event is an input to an account's state machine.
 type Event interface{ isEvent() }
 
-// Need says that a request found too few rights in the slice.
+// Need reports that the slice holds too few rights for a request.
 type Need struct {
 	Tokens rattanhoist.Tokens
-	// Waiting is the sum of all requests that wait, this one included.
+	// Waiting is the total size of all waiting requests, including this one.
 	Waiting rattanhoist.Tokens
-	// GiveUp ends the wait for settlements.
+	// Deadline is when the request stops waiting for rights.
 	GiveUp time.Time
 }
 
-// Leased is the keeper's answer to a lease.
+// Leased reports the keeper's answer to a lease.
 type Leased struct {
 	Sequence uint64
 	Reply    *messenger.LeaseReply
 }
 
-// Returned is the keeper's answer to a return.
+// Returned reports the keeper's answer to a return.
 type Returned struct{ Sequence uint64 }
 
-// Failed says that a call brought no answer.
+// CallFailed reports that a call ended without an answer.
 type Failed struct{ Sequence uint64 }
 
-// Recall asks for unreserved rights back.
+// Recall asks the account to return unreserved rights.
 type Recall struct{ Tokens rattanhoist.Tokens }
 
-// Tick lets time pass.
+// Tick triggers periodic work.
 type Tick struct{}
 
 func (Need) isEvent()     {}
@@ -44,30 +44,32 @@
 func (Recall) isEvent()   {}
 func (Tick) isEvent()     {}
 
-// Action is something that the shell does for an account.
+// Action is an output of an account's state machine that the Treasurer
+// carries out.
 type Action interface{ isAction() }
 
-// SendLease asks the keeper for rights. A resend has the same sequence.
+// SendLease requests rights from the keeper. A resend has the same sequence.
 type SendLease struct {
 	Sequence uint64
 	Want     rattanhoist.Tokens
-	// Demand is in tokens a second.
+	// Demand is in tokens per second.
 	Demand int64
 }
 
-// SendReturn gives rights back that have left the slice.
+// SendReturn returns rights to the keeper. They have already left the slice.
 type SendReturn struct {
 	Sequence uint64
 	Tokens   rattanhoist.Tokens
 }
 
-// Refuse answers a Need for good.
+// Refuse rejects the request that raised a Need.
 type Refuse struct{ Err *Shortage }
 
-// Wait answers a Need: try again at Until, or as soon as anything changes.
+// Wait makes the request that raised a Need try again at Until, or as soon as
+// the account changes.
 type Wait struct{ Until time.Time }
 
-// Retire says that the account holds nothing and has no traffic.
+// Retire reports that the account holds no rights and has no traffic.
 type Retire struct{}
 
 func (SendLease) isAction()  {}
--- a/treasurer/keeper_test.go
+++ b/treasurer/keeper_test.go
@@ -16,50 +16,51 @@
 
 var errLost = status.Error(codes.Unavailable, "lost")
 
-// lease is what the fake keeper knows of one router's incarnation.
+// lease is the fake keeper's state of one router incarnation.
 type lease struct {
-	sequence           uint64
-	granted, last, out int64
+	sequence                   uint64
+	granted, last, outstanding int64
 }
 
-// fakeKeeper is a flat book for one workspace, with faults.
+// fakeKeeper keeps the balances of one workspace and can simulate faults.
 type fakeKeeper struct {
 	treasurer.Keeper
-	mu       sync.Mutex
-	unspent  int64
-	leases   map[string]*lease
-	bills    map[string]*messenger.Charge
-	fenced   uint64
-	newest   uint64
-	twoDisks bool
-	silent   []string
-	// Away makes every call fail before it is carried out; Lose drops the
-	// next answers of a call after it was.
-	away bool
-	lose map[string]int
-	// Held is what other routers hold.
-	held int64
-	// Vault is the incarnation in answers; AnswerDelay holds leases' answers
-	// back.
+	mu               sync.Mutex
+	unspent          int64
+	leases           map[string]*lease
+	bills            map[string]*messenger.Charge
+	fenced           uint64
+	newest           uint64
+	twoDisks         bool
+	unreachableZones []string
+	// unavailable makes every call fail before it is handled. lostReplies is
+	// the number of next replies to drop after a call was handled, by call.
+	unavailable bool
+	lostReplies map[string]int
+	// heldElsewhere is the number of tokens held by other routers.
+	heldElsewhere int64
+	// vault is the vault incarnation in replies; answerDelay delays lease
+	// replies.
 	vault       uint64
 	answerDelay time.Duration
-	// Recall has the routers of the zone return rights before a lease.
+	// recall makes the zone's routers return rights before a lease.
 	recall func(incarnation uint64)
-	// Delay is added to every call, Calls counts them.
+	// delay is added to every call; calls counts them by name.
 	delay time.Duration
 	calls map[string]int
-	// Batches holds the size of every charge call.
+	// batches holds the number of charges in every charge call.
 	batches []int
 }
 
 func newKeeper(unspent int64) *fakeKeeper {
 	return &fakeKeeper{
 		unspent: unspent, leases: map[string]*lease{}, bills: map[string]*messenger.Charge{},
-		lose: map[string]int{}, calls: map[string]int{}, twoDisks: true,
+		lostReplies: map[string]int{}, calls: map[string]int{}, twoDisks: true,
 	}
 }
 
-// begin books a call; the returned function says what becomes of its answer.
+// begin counts a call and locks the keeper. The returned function unlocks it
+// and returns the error for a lost reply.
 func (k *fakeKeeper) begin(ctx context.Context, name string) (func() error, error) {
 	k.mu.Lock()
 	delay := k.delay
@@ -71,14 +72,14 @@
 	}
 	k.mu.Lock()
 	k.calls[name]++
-	if k.away {
+	if k.unavailable {
 		k.mu.Unlock()
 		return nil, errLost
 	}
 	return func() error {
 		defer k.mu.Unlock()
-		if k.lose[name] > 0 {
-			k.lose[name]--
+		if k.lostReplies[name] > 0 {
+			k.lostReplies[name]--
 			return errLost
 		}
 		return nil
@@ -119,19 +120,19 @@
 		return nil, status.Error(codes.FailedPrecondition, "fenced")
 	}
 	l := k.lease(r.Incarnation)
-	out := &messenger.LeaseReply{UnreachableZones: k.silent}
+	out := &messenger.LeaseReply{UnreachableZones: k.unreachableZones}
 	if r.Sequence > l.sequence {
 		n := min(r.WantTokens, k.unspent)
 		k.unspent -= n
 		l.sequence, l.last = r.Sequence, n
 		l.granted += n
-		l.out += n
+		l.outstanding += n
 	}
 	if r.Sequence == l.sequence {
 		out.GrantedTokens = l.last
 	}
 	out.TotalGrantedTokens, out.ZoneLeftTokens, out.VaultIncarnation = l.granted, k.unspent, k.vault
-	out.HeldTokens = k.held
+	out.HeldTokens = k.heldElsewhere
 	late := k.answerDelay
 	err = end()
 	time.Sleep(late)
@@ -145,7 +146,7 @@
 	}
 	if l := k.lease(r.Incarnation); r.Sequence > l.sequence && r.Incarnation > k.fenced {
 		l.sequence, l.last = r.Sequence, 0
-		l.out -= r.Tokens
+		l.outstanding -= r.Tokens
 		k.unspent += r.Tokens
 	}
 	return &messenger.ReturnReply{}, end()
@@ -176,10 +177,10 @@
 		return &messenger.ChargeResult{State: messenger.ChargeState_CHARGE_STATE_FENCED}
 	}
 	l := k.lease(r.Incarnation)
-	if l.out < c.Tokens {
+	if l.outstanding < c.Tokens {
 		return &messenger.ChargeResult{State: messenger.ChargeState_CHARGE_STATE_NOT_LEASED}
 	}
-	l.out -= c.Tokens
+	l.outstanding -= c.Tokens
 	k.bills[c.RequestId] = &messenger.Charge{Tokens: c.Tokens, Incarnation: r.Incarnation}
 	return &messenger.ChargeResult{State: messenger.ChargeState_CHARGE_STATE_BILLED, BilledTokens: c.Tokens, SpentTokens: c.Tokens}
 }
@@ -199,19 +200,19 @@
 	return out, end()
 }
 
-// set changes the keeper between calls.
-func (k *fakeKeeper) set(f func()) {
+// update changes the keeper's state between calls.
+func (k *fakeKeeper) update(f func()) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	f()
 }
 
-// books returns what is unspent, leased and charged.
+// books returns the unspent, leased and charged tokens.
 func (k *fakeKeeper) books() (unspent, leased, charged int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, l := range k.leases {
-		leased += l.out
+		leased += l.outstanding
 	}
 	for _, b := range k.bills {
 		charged += b.Tokens
--- a/treasurer/outbox.go
+++ b/treasurer/outbox.go
@@ -12,34 +12,36 @@
 
 // Targets of charges.
 const (
-	// OwnKeeper is the keeper of the router's zone, which decides.
+	// OwnKeeper is the keeper of the router's zone, which decides on charges.
 	OwnKeeper Target = iota
-	// Witness is a keeper of another zone, which stores charges while the own
-	// keeper is out of reach.
+	// Witness is a keeper of another zone that stores charges while the own
+	// keeper is unreachable.
 	Witness
-	targets
+	targetCount
 )
 
-// copyEvery is the pause between resends of charges that one disk has.
-const copyEvery = 500 * time.Millisecond
+// copyInterval is the pause between resends of charges that are stored on one
+// disk only.
+const copyInterval = 500 * time.Millisecond
 
-// Outcome is what became of a charge.
+// Outcome is the result of a charge.
 type Outcome struct {
 	Key   rattanhoist.RequestKey
 	State messenger.ChargeState
-	// Billed is what the request costs in all.
+	// Billed is the total price of the request.
 	Billed rattanhoist.Tokens
-	// Spent is what it took out of this incarnation's lease.
+	// Spent is the part of it taken from this incarnation's lease.
 	Spent rattanhoist.Tokens
 }
 
-// Send passes charges to a target; the shell answers with Answered.
+// Send is a batch of charges for a target. Its result is reported with
+// ApplyReply.
 type Send struct {
 	Target  Target
 	entries []*entry
 }
 
-// Charges returns what is to be sent.
+// Charges returns the charges of the batch.
 func (s Send) Charges() []*messenger.Charge {
 	out := make([]*messenger.Charge, len(s.entries))
 	for i, e := range s.entries {
@@ -48,44 +50,47 @@
 	return out
 }
 
-// entry is one charge until two disks have it.
+// entry is a charge that is not yet known to be on two disks.
 type entry struct {
 	charge *messenger.Charge
 	key    rattanhoist.RequestKey
 	added  time.Time
-	// Durable reports whether a disk has it, so that the answer may complete.
+	// durable reports whether at least one disk has stored the charge, so
+	// that the answer may complete.
 	durable bool
-	// Decided reports whether the own keeper has answered.
+	// decided reports whether the own keeper has answered.
 	decided bool
-	// Gone reports whether the outbox has forgotten it.
-	gone bool
+	// removed reports whether the entry has left the outbox.
+	removed bool
 }
 
-// Outbox is the state machine of a router's charges at one incarnation. Its
-// memory is bounded by PendingMost charges.
+// Outbox is the state machine that delivers a router's charges, for one
+// incarnation. It holds at most MaxPending charges.
 type Outbox struct {
 	policy *Policy
 	byKey  map[rattanhoist.RequestKey]*entry
-	// Fresh holds charges that the own keeper has not decided and that are not
-	// on their way to it.
-	fresh queue
-	// Unwitnessed holds those that the witness has not, in order of arrival.
+	// unsent holds charges that the own keeper has not decided and that are
+	// not in flight to it.
+	unsent queue
+	// unwitnessed holds charges that the witness does not have, in order of
+	// arrival.
 	unwitnessed queue
-	// Copies holds charges that one disk has.
-	copies queue
-	copyAt time.Time
-	// Busy marks targets with a call open: one call at a time makes charges
-	// that arrive meanwhile share the next one, without a wait when idle.
-	busy [targets]bool
-	// Tries counts the calls to a target that failed in a row; Again is when
-	// it is tried next.
-	tries [targets]int
-	again [targets]time.Time
-	// Undurable and tokens count what would be lost with this process.
-	undurable int
-	tokens    rattanhoist.Tokens
-	dropped   int
-	promise
+	// singleCopy holds charges that are stored on one disk only.
+	singleCopy queue
+	nextCopy   time.Time
+	// busy marks targets with a call in flight. One call at a time batches
+	// the charges that arrive meanwhile, and adds no delay when idle.
+	busy [targetCount]bool
+	// tries counts consecutive failed calls to a target; retryAt is when it
+	// is called next.
+	tries   [targetCount]int
+	retryAt [targetCount]time.Time
+	// notDurable counts charges on no disk; tokens is the sum of all charges
+	// in the outbox.
+	notDurable int
+	tokens     rattanhoist.Tokens
+	dropped    int
+	watermark
 }
 
 // NewOutbox returns an empty outbox.
@@ -93,7 +98,7 @@
 	return &Outbox{policy: p, byKey: map[rattanhoist.RequestKey]*entry{}}
 }
 
-// Has reports whether a request's charge is kept here.
+// Has reports whether the outbox holds the request's charge.
 func (o *Outbox) Has(key rattanhoist.RequestKey) bool { return o.byKey[key] != nil }
 
 // Pending returns the charges that are not known to be on two disks.
@@ -105,43 +110,45 @@
 	return out
 }
 
-// AtRisk returns how many charges no disk has, how many one disk has, the
-// tokens of both, and how many were forgotten with one copy for want of room.
+// AtRisk returns the number of charges on no disk, the number on one disk,
+// the tokens of both, and the number that were evicted with one copy because
+// the outbox was full.
 func (o *Outbox) AtRisk() (none, one int, tokens rattanhoist.Tokens, dropped int) {
-	return o.undurable, len(o.byKey) - o.undurable, o.tokens, o.dropped
+	return o.notDurable, len(o.byKey) - o.notDurable, o.tokens, o.dropped
 }
 
-// Add takes a charge and returns what to send now. It reports false when the
-// request has a charge here already, or when there is no room.
+// Add enqueues a charge and returns the batches to send now. It returns false
+// if the outbox already holds a charge for the request or is full.
 func (o *Outbox) Add(now time.Time, c *messenger.Charge) ([]Send, bool) {
 	key := rattanhoist.NewRequestKey(c.Workspace, c.RequestId)
-	if o.byKey[key] != nil || !o.makeRoom() {
+	if o.byKey[key] != nil || !o.evictIfFull() {
 		return nil, false
 	}
-	o.keep(c)
+	o.clampTime(c)
 	e := &entry{charge: c, key: key, added: now}
 	o.byKey[key] = e
-	o.undurable++
+	o.notDurable++
 	o.tokens += rattanhoist.Tokens(c.Tokens)
-	o.fresh.push(e)
+	o.unsent.push(e)
 	o.unwitnessed.push(e)
 	return o.Tick(now), true
 }
 
-// makeRoom forgets the oldest charge that a disk has. Without it an hour
-// without a second disk would end in refusals, or in memory without bound.
-func (o *Outbox) makeRoom() bool {
-	if len(o.byKey) < o.policy.PendingMost {
+// evictIfFull removes the oldest durable charge if the outbox is full.
+// Without eviction, an hour without a second disk would lead to refusals or
+// unbounded memory.
+func (o *Outbox) evictIfFull() bool {
+	if len(o.byKey) < o.policy.MaxPending {
 		return true
 	}
-	for _, q := range []*queue{&o.copies, &o.fresh} {
-		for q.front() != nil && q.front().gone {
+	for _, q := range []*queue{&o.singleCopy, &o.unsent} {
+		for q.front() != nil && q.front().removed {
 			q.pop()
 		}
 		if e := q.front(); e != nil && e.durable {
 			q.pop()
 			o.pin(e)
-			o.forget(e)
+			o.remove(e)
 			o.dropped++
 			return true
 		}
@@ -149,30 +156,32 @@
 	return false
 }
 
-func (o *Outbox) forget(e *entry) {
-	if e.gone {
+// remove deletes a charge from the outbox. The queues skip it later.
+func (o *Outbox) remove(e *entry) {
+	if e.removed {
 		return
 	}
-	e.gone = true
+	e.removed = true
 	delete(o.byKey, e.key)
 	o.tokens -= rattanhoist.Tokens(e.charge.Tokens)
 	if !e.durable {
-		o.undurable--
+		o.notDurable--
 	}
 }
 
+// makeDurable records that a disk has the charge.
 func (o *Outbox) makeDurable(e *entry) {
-	if !e.durable && !e.gone {
+	if !e.durable && !e.removed {
 		e.durable = true
-		o.undurable--
+		o.notDurable--
 	}
 }
 
-// Tick returns what is due.
+// Tick returns the batches that are due.
 func (o *Outbox) Tick(now time.Time) []Send {
 	var out []Send
-	for t, fill := range []func(time.Time) []*entry{o.forKeeper, o.forWitness} {
-		if o.busy[t] || now.Before(o.again[t]) {
+	for t, fill := range []func(time.Time) []*entry{o.keeperBatch, o.witnessBatch} {
+		if o.busy[t] || now.Before(o.retryAt[t]) {
 			continue
 		}
 		if batch := fill(now); len(batch) > 0 {
@@ -183,30 +192,33 @@
 	return out
 }
 
-func (o *Outbox) forKeeper(now time.Time) []*entry {
-	batch := o.drain(nil, &o.fresh)
-	if now.Before(o.copyAt) {
+// keeperBatch returns unsent charges and, every copyInterval, those on one
+// disk only.
+func (o *Outbox) keeperBatch(now time.Time) []*entry {
+	batch := o.takeBatch(nil, &o.unsent)
+	if now.Before(o.nextCopy) {
 		return batch
 	}
-	o.copyAt = now.Add(copyEvery)
-	return o.drain(batch, &o.copies)
+	o.nextCopy = now.Add(copyInterval)
+	return o.takeBatch(batch, &o.singleCopy)
 }
 
-func (o *Outbox) drain(batch []*entry, q *queue) []*entry {
-	for q.len() > 0 && len(batch) < o.policy.BatchMost {
-		if e := q.pop(); !e.gone {
+// takeBatch moves entries from a queue to the batch, up to MaxBatch.
+func (o *Outbox) takeBatch(batch []*entry, q *queue) []*entry {
+	for q.len() > 0 && len(batch) < o.policy.MaxBatch {
+		if e := q.pop(); !e.removed {
 			batch = append(batch, e)
 		}
 	}
 	return batch
 }
 
-// forWitness returns charges that have waited for the own keeper long enough,
-// or at once while it is known to be silent.
-func (o *Outbox) forWitness(now time.Time) []*entry {
+// witnessBatch returns charges that have waited for the own keeper for
+// WitnessAfter, or all of them at once after a failed call to the own keeper.
+func (o *Outbox) witnessBatch(now time.Time) []*entry {
 	var batch []*entry
-	for e := o.unwitnessed.front(); e != nil && len(batch) < o.policy.BatchMost; e = o.unwitnessed.front() {
-		done := e.gone || e.decided
+	for e := o.unwitnessed.front(); e != nil && len(batch) < o.policy.MaxBatch; e = o.unwitnessed.front() {
+		done := e.removed || e.decided
 		due := o.tries[OwnKeeper] > 0 || now.Sub(e.added) >= o.policy.WitnessAfter
 		if !done && !due {
 			break
@@ -219,20 +231,20 @@
 	return batch
 }
 
-// Answered takes a target's answer to a batch, or nil when none came. It
-// returns the charges whose fate is now known, and what to send next.
+// ApplyReply applies a target's reply to a batch, or nil if there was none.
+// It returns the outcomes that are now known and the next batches.
 func (o *Outbox) Answered(now time.Time, s Send, r *messenger.ChargeReply) ([]Outcome, []Send) {
 	o.busy[s.Target] = false
 	if r == nil || len(r.Results) != len(s.entries) {
-		o.silent(now, s)
+		o.requeue(now, s)
 		return nil, o.Tick(now)
 	}
 	o.tries[s.Target] = 0
 	var out []Outcome
 	for i, e := range s.entries {
-		take := o.takeDecision
+		take := o.applyDecision
 		if s.Target == Witness {
-			take = o.takeWitnessed
+			take = o.applyWitnessed
 		}
 		if known, ok := take(e, r.Results[i], r.TwoDisks); ok {
 			out = append(out, known)
@@ -241,10 +253,10 @@
 	return out, o.Tick(now)
 }
 
-// silent books a call without an answer: the charges may be on the target's
-// disk or not, so they go out again.
-func (o *Outbox) silent(now time.Time, s Send) {
-	o.again[s.Target] = now.Add(o.policy.pause(o.tries[s.Target]))
+// requeue schedules an unanswered batch again, because the target may or may
+// not have stored its charges.
+func (o *Outbox) requeue(now time.Time, s Send) {
+	o.retryAt[s.Target] = now.Add(o.policy.backoff(o.tries[s.Target]))
 	o.tries[s.Target]++
 	if s.Target == Witness {
 		o.unwitnessed.putBack(s.entries)
@@ -253,16 +265,16 @@
 	var fresh []*entry
 	for _, e := range s.entries {
 		if e.decided {
-			o.copies.push(e)
+			o.singleCopy.push(e)
 			continue
 		}
 		fresh = append(fresh, e)
 	}
-	o.fresh.putBack(fresh)
+	o.unsent.putBack(fresh)
 }
 
-// takeDecision books the own keeper's word on a charge.
-func (o *Outbox) takeDecision(e *entry, r *messenger.ChargeResult, twoDisks bool) (Outcome, bool) {
+// applyDecision applies the own keeper's result for a charge.
+func (o *Outbox) applyDecision(e *entry, r *messenger.ChargeResult, twoDisks bool) (Outcome, bool) {
 	first := !e.decided
 	e.decided = true
 	billed := r.State == messenger.ChargeState_CHARGE_STATE_BILLED
@@ -273,9 +285,9 @@
 		o.pin(e)
 	}
 	if !billed || twoDisks {
-		o.forget(e)
-	} else if !e.gone {
-		o.copies.push(e)
+		o.remove(e)
+	} else if !e.removed {
+		o.singleCopy.push(e)
 	}
 	return Outcome{
 		Key: e.key, State: r.State,
@@ -283,10 +295,11 @@
 	}, first
 }
 
-// takeWitnessed books a witness's word: it makes a charge durable, and the
-// own keeper decides later what was spent. Until then it counts as spent.
-func (o *Outbox) takeWitnessed(e *entry, r *messenger.ChargeResult, _ bool) (Outcome, bool) {
-	if e.durable || e.decided || e.gone {
+// applyWitnessed applies a witness's result for a charge. A witness makes a
+// charge durable; the own keeper decides later how much was spent. Until then
+// the whole charge counts as spent.
+func (o *Outbox) applyWitnessed(e *entry, r *messenger.ChargeResult, _ bool) (Outcome, bool) {
+	if e.durable || e.decided || e.removed {
 		return Outcome{}, false
 	}
 	cost := rattanhoist.Tokens(e.charge.Tokens)
@@ -296,25 +309,25 @@
 		return Outcome{Key: e.key, State: r.State, Billed: cost, Spent: cost}, true
 	case messenger.ChargeState_CHARGE_STATE_FENCED:
 		o.pin(e)
-		o.forget(e)
+		o.remove(e)
 		return Outcome{Key: e.key, State: r.State}, true
 	default:
 		return Outcome{}, false
 	}
 }
 
-// Next returns when Tick should run if nothing else happens before.
+// Next returns when Tick should run if nothing else happens first.
 func (o *Outbox) Next(now time.Time) (time.Time, bool) {
 	if len(o.byKey) == 0 {
 		return time.Time{}, false
 	}
-	next := now.Add(copyEvery)
+	next := now.Add(copyInterval)
 	if e := o.unwitnessed.front(); e != nil && !o.busy[Witness] {
 		next = earlier(next, e.added.Add(o.policy.WitnessAfter))
 	}
-	for t := range targets {
-		if !o.busy[t] && o.again[t].After(now) {
-			next = earlier(next, o.again[t])
+	for t := range targetCount {
+		if !o.busy[t] && o.retryAt[t].After(now) {
+			next = earlier(next, o.retryAt[t])
 		}
 	}
 	return next, true
--- a/treasurer/process_test.go
+++ b/treasurer/process_test.go
@@ -24,12 +24,12 @@
 	routerB = zone + "-2"
 )
 
-// deployment is a fleet of real processes with one workspace and one engine.
+// deployment is a set of real processes with one workspace and one engine.
 type deployment struct {
 	*launcher.Fleet
 	g   *gomega.WithT
 	key string
-	// Prices holds what the callers were told, by request.
+	// prices holds the price reported to the caller, by request.
 	mu     sync.Mutex
 	prices map[string]int64
 }
@@ -56,11 +56,11 @@
 	return d
 }
 
-// call sends a request and reports whether it was answered whole.
-func (d *deployment) call(router, id string) bool { return d.ask(router, id) == nil }
+// trySend sends a request and reports whether it succeeded.
+func (d *deployment) trySend(router, id string) bool { return d.send(router, id) == nil }
 
-// ask sends a request and notes its price.
-func (d *deployment) ask(router, id string) error {
+// send sends a request and records its price.
+func (d *deployment) send(router, id string) error {
 	p, err := d.Settings().Process(loader.KindRouter, router)
 	d.g.Expect(err).NotTo(gomega.HaveOccurred())
 	c := imitator.Call{
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// books returns the sums over the zones.
+// books returns the sums over all zones.
 func (d *deployment) books() (unspent, leased, charged int64) {
 	var r struct{ Books []map[string]any }
 	out, _ := d.Command("budget", "show", "w", "-o", "json")
@@ -92,7 +92,7 @@
 	return sum("unspent_tokens"), sum("leased_tokens"), sum("charged_tokens")
 }
 
-func (d *deployment) told() (n int64) {
+func (d *deployment) reportedTokens() (n int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, p := range d.prices {
@@ -101,19 +101,19 @@
 	return n
 }
 
-// Symptom: part of a budget is gone after a router died, or a retried request
-// is billed twice.
-// Sequence: kill -9 of a router with open streams; restart; the callers retry
-// under the same identities; both routers shut down gracefully.
-// Cause: rights of a dead incarnation that never return, a return that is not
-// waited for, or a second bill.
-func TestBudgetComesBackToTheLastToken(t *testing.T) {
+// Guards against budget lost when a router dies, and against a retried
+// request billed twice. A router with open streams is killed (kill -9) and
+// restarted, callers retry under the same request ids, and both routers shut down
+// gracefully. The failure occurs if rights of a dead incarnation never
+// return, if shutdown does not wait for a return, or if a retry creates a
+// second bill.
+func TestAllRightsReturnAfterRouterCrash(t *testing.T) {
 	const paid = 3000
 	d := start(t, 50, paid, "60ms")
-	d.Eventually("first answer", func() bool { return d.call(routerA, "first") })
+	d.Eventually("first answer", func() bool { return d.trySend(routerA, "first") })
 	var wg sync.WaitGroup
 	for i := range 8 {
-		wg.Go(func() { d.call([]string{routerA, routerB}[i%2], fmt.Sprint("r", i)) })
+		wg.Go(func() { d.trySend([]string{routerA, routerB}[i%2], fmt.Sprint("r", i)) })
 	}
 	d.Eventually("rights are leased", func() bool { _, leased, _ := d.books(); return leased > 0 })
 	d.Kill(routerA)
@@ -122,55 +122,53 @@
 	d.Eventually("router is ready", func() bool { return d.Ready(routerA) })
 	for i := range 8 {
 		id := fmt.Sprint("r", i)
-		d.Eventually("retry of "+id, func() bool { return d.call(routerA, id) })
+		d.Eventually("retry of "+id, func() bool { return d.trySend(routerA, id) })
 	}
 	d.g.Expect(d.Terminate(routerA)).To(gomega.Succeed())
 	d.g.Expect(d.Terminate(routerB)).To(gomega.Succeed())
 	d.Eventually("every token is back or billed once", func() bool {
 		unspent, leased, charged := d.books()
-		return leased == 0 && charged == d.told() && unspent+charged == paid
+		return leased == 0 && charged == d.reportedTokens() && unspent+charged == paid
 	})
 	d.g.Expect(d.prices).To(gomega.HaveLen(9))
 }
 
-// Symptom: a zone answers nothing while its keeper's VM restarts, or bills of
-// that time are lost.
-// Sequence: requests with rights leased; kill -9 of the zone's keeper; more
-// requests; the keeper comes back.
-// Cause: charges that only the own keeper may take.
-func TestRequestsGoOnWithoutTheKeeper(t *testing.T) {
+// Guards against a zone that answers nothing while its keeper's VM restarts,
+// and against lost bills from that time. Requests continue on leased rights
+// after the zone's keeper is killed (kill -9), until it is restarted. The
+// failure occurs if only the own keeper can accept charges.
+func TestRequestsContinueWithoutTheKeeper(t *testing.T) {
 	const paid = 100_000
 	d := start(t, 51, paid, "1ms")
 	for i := range 6 {
 		for _, r := range []string{routerA, routerB} {
-			d.Eventually("warm up", func() bool { return d.call(r, fmt.Sprint("warm-", r, i)) })
+			d.Eventually("warm up", func() bool { return d.trySend(r, fmt.Sprint("warm-", r, i)) })
 		}
 	}
 	d.Kill(keeper)
 	for i := range 3 {
-		d.g.Expect(d.ask(routerA, fmt.Sprint("away-", i))).To(gomega.Succeed(), "the slice and the witness carry on")
+		d.g.Expect(d.send(routerA, fmt.Sprint("away-", i))).To(gomega.Succeed(), "the slice and the witness carry on")
 	}
 	d.Restart(keeper)
 	for i := range 3 {
 		id := fmt.Sprint("away-", i)
-		d.Eventually("answer to "+id, func() bool { return d.call(routerA, id) })
+		d.Eventually("answer to "+id, func() bool { return d.trySend(routerA, id) })
 	}
 	d.Eventually("the bills of that time are in the book", func() bool {
 		_, _, charged := d.books()
-		return charged == d.told()
+		return charged == d.reportedTokens()
 	})
 }
 
-// Symptom: a request is refused in one zone while a router of another holds
-// the rights idle.
-// Sequence: a small budget is leased whole to a router; a request comes in
-// another zone.
-// Cause: a zone that gives only what its keeper has not leased.
+// Guards against a request refused in one zone while a router of another zone
+// holds idle rights. One router leases a small budget completely before a
+// request arrives in another zone. The failure occurs if a zone grants only
+// what its keeper has not leased.
 func TestRightsLeasedInAnotherZoneAreReached(t *testing.T) {
 	d := start(t, 52, 80, "1ms")
-	d.Eventually("first answer", func() bool { return d.call("tema-hall-1", "a") })
+	d.Eventually("first answer", func() bool { return d.trySend("tema-hall-1", "a") })
 	unspent, leased, _ := d.books()
 	d.g.Expect(unspent).To(gomega.BeZero(), "the first lease takes all of a small budget")
 	d.g.Expect(leased).To(gomega.BeNumerically(">", 0))
-	d.g.Expect(d.ask(routerA, "b")).To(gomega.Succeed())
+	d.g.Expect(d.send(routerA, "b")).To(gomega.Succeed())
 }
--- a/treasurer/queue.go
+++ b/treasurer/queue.go
@@ -1,7 +1,7 @@
 package treasurer
 
-// queue is first in, first out, with a way back to the front for what could
-// not be sent.
+// queue is a FIFO queue that also takes entries back at the front when they
+// could not be sent.
 type queue struct{ items []*entry }
 
 func (q *queue) len() int { return len(q.items) }
@@ -22,7 +22,7 @@
 	return e
 }
 
-// putBack returns entries to the front, in their order.
+// putBack inserts entries at the front in their given order.
 func (q *queue) putBack(back []*entry) {
 	q.items = append(append(make([]*entry, 0, len(back)+len(q.items)), back...), q.items...)
 }
--- a/treasurer/refill.go
+++ b/treasurer/refill.go
@@ -7,37 +7,38 @@
 	"rattanhoist.example/rattanhoist"
 )
 
-// tick measures demand, then leases ahead of need or returns what idles.
-func (a *Account) tick(now time.Time) []Action {
-	a.measure(now)
-	if a.pending() != nil {
+// handleTick updates the demand, then leases ahead of need or returns unused
+// rights.
+func (a *Account) handleTick(now time.Time) []Action {
+	a.measureDemand(now)
+	if a.openCall() != nil {
 		return a.resendDue(now)
 	}
 	left := a.slice.Left()
 	if now.Sub(a.meter.lastUse) >= a.policy.IdleAfter {
-		return a.rest(now, left)
+		return a.returnIdle(now, left)
 	}
-	a.lowMark.Store(int64(max(a.perSeconds(a.policy.LowHorizon), a.size*rattanhoist.Tokens(a.policy.LeaseAhead/2))))
+	a.lowMark.Store(int64(max(a.demandOver(a.policy.LowHorizon), a.requestSize*rattanhoist.Tokens(a.policy.LeaseAhead/2))))
 	target := a.target()
 	switch {
 	case int64(left) < a.lowMark.Load():
 		return a.refill(now, target-left)
 	case left > target*rattanhoist.Tokens(a.policy.SurplusFactor):
-		return a.giveBack(now, left-2*target)
+		return a.startReturn(now, left-2*target)
 	default:
 		return nil
 	}
 }
 
-// target is what the slice should hold beside requests in progress.
+// target returns the number of unreserved tokens that the slice should hold.
 func (a *Account) target() rattanhoist.Tokens {
-	return max(a.perSeconds(a.policy.Horizon), a.size*rattanhoist.Tokens(a.policy.LeaseAhead))
+	return max(a.demandOver(a.policy.Horizon), a.requestSize*rattanhoist.Tokens(a.policy.LeaseAhead))
 }
 
-// refill leases in the background. It asks for no more than the zone can
-// spare, so that only a request in need makes the keeper ask other zones.
+// refill starts a background lease. It is limited to what the zone can spare,
+// so that only a waiting request makes the keeper call other zones.
 func (a *Account) refill(now time.Time, want rattanhoist.Tokens) []Action {
-	if a.refused != nil && now.Before(a.refusedUntil) {
+	if a.lastShortage != nil && now.Before(a.shortageUntil) {
 		return nil
 	}
 	spare := rattanhoist.Tokens(float64(a.zoneLeft) * a.policy.ZoneFraction)
@@ -47,10 +48,11 @@
 	return a.startLease(now, want)
 }
 
-// rest returns everything of an idle slice, and ends it once it is empty.
-func (a *Account) rest(now time.Time, left rattanhoist.Tokens) []Action {
+// returnIdle returns all rights of an idle slice, and retires the account
+// once it is empty.
+func (a *Account) returnIdle(now time.Time, left rattanhoist.Tokens) []Action {
 	if left > 0 {
-		return a.giveBack(now, left)
+		return a.startReturn(now, left)
 	}
 	if a.slice.Reserved() > 0 {
 		return nil
@@ -58,7 +60,8 @@
 	return []Action{Retire{}}
 }
 
-func (a *Account) measure(now time.Time) {
+// measureDemand updates the moving average of demand.
+func (a *Account) measureDemand(now time.Time) {
 	m := &a.meter
 	d := now.Sub(m.lastTick).Seconds()
 	if d <= 0 {
--- a/treasurer/reserve.go
+++ b/treasurer/reserve.go
@@ -8,59 +8,61 @@
 	"rattanhoist.example/rattanhoist/tracer"
 )
 
-// Reservation is what one request may spend. Exactly one of Release and
-// Charge ends it.
+// Reservation is the number of tokens that one request may spend. It must be
+// ended by exactly one call to Release or Charge.
 type Reservation struct {
 	treasurer *Treasurer
-	holder    *holder
+	account   *managedAccount
 	tokens    rattanhoist.Tokens
-	// Begun is wall time without the monotonic clock, which stands still while
-	// a VM is frozen.
+	// begun is wall-clock time, because the monotonic clock stops while a VM
+	// is frozen.
 	begun time.Time
 }
 
-// Reserve sets n tokens of a workspace aside. Where the slice holds too few
-// it waits for a lease and for settlements, within ctx, and then refuses with
-// a Shortage.
+// Reserve reserves n tokens of a workspace. If the slice holds too few, it
+// waits within ctx for a lease or for other requests to settle, and then
+// fails with a Shortage.
 func (t *Treasurer) Reserve(ctx context.Context, workspace string, n rattanhoist.Tokens) (Reservation, error) {
 	for {
-		m := t.term.Load()
-		h := m.holder(workspace)
+		m := t.session.Load()
+		h := m.account(workspace)
 		got, err := h.slice.Reserve(n), error(nil)
 		if !got {
-			got, err = t.wait(ctx, h, n)
+			got, err = t.waitForRights(ctx, h, n)
 		}
 		if err != nil {
 			counters.refused.Add(1)
 			return Reservation{}, err
 		}
 		if got {
-			t.poke(h)
-			return Reservation{treasurer: t, holder: h, tokens: n, begun: time.Now().Round(0)}, nil
+			t.refillIfLow(h)
+			return Reservation{treasurer: t, account: h, tokens: n, begun: time.Now().Round(0)}, nil
 		}
 	}
 }
 
-// poke has a low slice filled up before it is dry, at most once a tick.
-func (t *Treasurer) poke(h *holder) {
-	if h.Low() && h.poked.CompareAndSwap(false, true) {
+// refillIfLow triggers a refill before the slice is empty, at most once per
+// tick.
+func (t *Treasurer) refillIfLow(h *managedAccount) {
+	if h.Low() && h.lowTickSent.CompareAndSwap(false, true) {
 		t.step(h, Tick{})
 	}
 }
 
-// wait returns false without an error when the account has ended.
-func (t *Treasurer) wait(ctx context.Context, h *holder, n rattanhoist.Tokens) (bool, error) {
-	giveUp := t.giveUp(ctx)
+// waitForRights waits until n tokens are reserved. It returns false without
+// an error if the account was retired or its incarnation fenced.
+func (t *Treasurer) waitForRights(ctx context.Context, h *managedAccount, n rattanhoist.Tokens) (bool, error) {
+	giveUp := t.waitDeadline(ctx)
 	if l := tracer.LinkOf(ctx); !l.IsZero() {
 		h.trace.Store(&l)
 	}
-	h.enter(n)
-	defer h.leave(n)
+	h.addWaiter(n)
+	defer h.removeWaiter(n)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		h.mu.Lock()
-		if h.retired || h.term.over() {
+		if h.retired || h.session.isFenced() {
 			h.mu.Unlock()
 			return false, nil
 		}
@@ -68,7 +70,7 @@
 			h.mu.Unlock()
 			return true, nil
 		}
-		actions := h.Step(time.Now(), Need{Tokens: n, Waiting: h.wanted, GiveUp: giveUp})
+		actions := h.Step(time.Now(), Need{Tokens: n, Waiting: h.waitingTokens, GiveUp: giveUp})
 		changed := h.changed
 		h.mu.Unlock()
 		until, refusal := t.perform(h, actions)
@@ -80,13 +82,14 @@
 		case <-changed:
 		case <-timer.C:
 		case <-ctx.Done():
-			return false, outOfReach(time.Now(), afterSettlement, "the deadline passed while waiting for rights")
+			return false, newOutOfReach(time.Now(), retryAfterSettlement, "the deadline passed while waiting for rights")
 		}
 	}
 }
 
-// giveUp leaves half of the deadline for the run itself.
-func (t *Treasurer) giveUp(ctx context.Context) time.Time {
+// waitDeadline returns how long to wait for rights. It leaves half of the
+// request's deadline for the run itself.
+func (t *Treasurer) waitDeadline(ctx context.Context) time.Time {
 	now := time.Now()
 	wait := t.policy.SettleWait
 	if d, ok := ctx.Deadline(); ok {
@@ -95,22 +98,22 @@
 	return now.Add(wait)
 }
 
-func (h *holder) enter(n rattanhoist.Tokens) {
+func (h *managedAccount) addWaiter(n rattanhoist.Tokens) {
 	h.waiters.Add(1)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.wanted += n
+	h.waitingTokens += n
 }
 
-func (h *holder) leave(n rattanhoist.Tokens) {
+func (h *managedAccount) removeWaiter(n rattanhoist.Tokens) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.wanted -= n
+	h.waitingTokens -= n
 	h.waiters.Add(-1)
 }
 
-// settle ends a part of a reservation and lets waiting requests look again.
-func (h *holder) settle(reserved, spent rattanhoist.Tokens) {
+// settle ends part of a reservation and wakes waiting requests.
+func (h *managedAccount) settle(reserved, spent rattanhoist.Tokens) {
 	h.slice.Settle(reserved, spent)
 	if h.waiters.Load() > 0 {
 		h.mu.Lock()
@@ -119,8 +122,8 @@
 	}
 }
 
-// Tokens returns the size of the reservation.
+// Tokens returns the number of reserved tokens.
 func (r Reservation) Tokens() rattanhoist.Tokens { return r.tokens }
 
-// Release ends a reservation of which nothing was spent.
-func (r Reservation) Release() { r.holder.settle(r.tokens, 0) }
+// Release ends a reservation without spending any of it.
+func (r Reservation) Release() { r.account.settle(r.tokens, 0) }
--- a/treasurer/caller.go
+++ b/treasurer/rpc.go
@@ -11,47 +11,50 @@
 	"rattanhoist.example/rattanhoist/tracer"
 )
 
+// callContext returns a context limited by CallTimeout and the treasurer's end.
 func (t *Treasurer) callContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(t.background, t.policy.CallTimeout)
 }
 
-// fenced reports whether the keeper refuses the incarnation.
-func fenced(err error) bool { return status.Code(err) == codes.FailedPrecondition }
+// isFencedError reports whether the keeper rejected the incarnation as
+// fenced.
+func isFencedError(err error) bool { return status.Code(err) == codes.FailedPrecondition }
 
-// register announces the incarnation until the keeper knows it. No lease goes
-// out before: the keeper fences earlier incarnations by this call.
-func (t *Treasurer) register(m *term) {
+// register sends the incarnation to the keeper until it is accepted. Leases
+// wait for this, because the keeper fences earlier incarnations in this call.
+func (t *Treasurer) register(m *session) {
 	r := &messenger.RegisterRequest{Router: t.options.Router, Incarnation: uint64(m.incarnation), Zone: t.options.Zone}
 	for try := 0; t.background.Err() == nil; try++ {
 		ctx, cancel := t.callContext()
 		out, err := t.options.Keeper.Register(ctx, r)
 		cancel()
 		switch {
-		case fenced(err):
-			t.pause(int(t.renewals.Load()))
-			t.renew(m)
+		case isFencedError(err):
+			t.waitBackoff(int(t.consecutiveFences.Load()))
+			t.replaceSession(m)
 			return
 		case err == nil:
 			t.useWitness(out.WitnessAddress)
-			t.renewals.Store(0)
-			m.notBefore(out.OldestChargeMs)
+			t.consecutiveFences.Store(0)
+			m.setEarliestCharge(out.OldestChargeMs)
 			close(m.registered)
 			return
 		}
-		t.pause(try)
+		t.waitBackoff(try)
 	}
 }
 
-// pause waits before another try, or until the end.
-func (t *Treasurer) pause(tries int) {
+// waitBackoff waits before the next attempt, or until the treasurer stops.
+func (t *Treasurer) waitBackoff(tries int) {
 	select {
 	case <-t.background.Done():
-	case <-time.After(t.policy.pause(tries)):
+	case <-time.After(t.policy.backoff(tries)):
 	}
 }
 
-// useWitness connects to the witness that the keeper names. The connection
-// to an earlier one stays open until the end: a batch may be on it.
+// useWitness connects to the witness named by the keeper. The previous
+// connection stays open until shutdown because a batch may be in flight on
+// it.
 func (t *Treasurer) useWitness(address string) {
 	old := t.witness.Load()
 	if address == "" || address == old.address || t.options.Dial == nil {
@@ -67,73 +70,77 @@
 	}})
 }
 
-func (t *Treasurer) lease(h *holder, a SendLease) {
+// callLease sends a lease, once the keeper has accepted the incarnation.
+func (t *Treasurer) callLease(h *managedAccount, a SendLease) {
 	ctx, cancel := t.callContext()
 	defer cancel()
 	if l := h.trace.Load(); l != nil {
 		ctx = l.Resume(ctx)
 	}
 	select {
-	case <-h.term.registered:
+	case <-h.session.registered:
 	case <-ctx.Done():
 		t.step(h, Failed{Sequence: a.Sequence})
 		return
 	}
 	counters.leases.Add(1)
 	r, err := t.options.Keeper.Lease(ctx, &messenger.LeaseRequest{
-		Workspace: h.Workspace(), Router: t.options.Router, Incarnation: uint64(h.term.incarnation),
+		Workspace: h.Workspace(), Router: t.options.Router, Incarnation: uint64(h.session.incarnation),
 		Sequence: a.Sequence, WantTokens: int64(a.Want), DemandTokensPerSecond: a.Demand,
 	})
 	if err != nil {
 		t.step(h, Failed{Sequence: a.Sequence})
-		t.renewIfFenced(h.term, err)
+		t.replaceIfFenced(h.session, err)
 		return
 	}
-	t.leased(h, a.Sequence, r)
+	t.handleLeaseReply(h, a.Sequence, r)
 }
 
-func (t *Treasurer) giveBack(h *holder, a SendReturn) {
+// callReturn sends a return to the keeper.
+func (t *Treasurer) callReturn(h *managedAccount, a SendReturn) {
 	ctx, cancel := t.callContext()
 	defer cancel()
 	counters.returns.Add(1)
 	_, err := t.options.Keeper.Return(ctx, &messenger.ReturnRequest{
-		Workspace: h.Workspace(), Router: t.options.Router, Incarnation: uint64(h.term.incarnation),
+		Workspace: h.Workspace(), Router: t.options.Router, Incarnation: uint64(h.session.incarnation),
 		Sequence: a.Sequence, Tokens: int64(a.Tokens),
 	})
 	if err != nil {
 		t.step(h, Failed{Sequence: a.Sequence})
-		t.renewIfFenced(h.term, err)
+		t.replaceIfFenced(h.session, err)
 		return
 	}
 	t.step(h, Returned{Sequence: a.Sequence})
 }
 
-func (t *Treasurer) renewIfFenced(m *term, err error) {
-	if fenced(err) {
-		t.renew(m)
+// replaceIfFenced starts a new incarnation if the keeper fenced this one.
+func (t *Treasurer) replaceIfFenced(m *session, err error) {
+	if isFencedError(err) {
+		t.replaceSession(m)
 	}
 }
 
-// traceOf returns the trace of the first request of a batch that has one.
-func (m *term) traceOf(s Send) tracer.Link {
+// batchTrace returns the trace of the first charge in a batch that has one.
+func (m *session) batchTrace(s Send) tracer.Link {
 	if !tracer.On() {
 		return tracer.Link{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, e := range s.entries {
-		if b := m.bills[e.key]; b != nil && !b.trace.IsZero() {
+		if b := m.charges[e.key]; b != nil && !b.trace.IsZero() {
 			return b.trace
 		}
 	}
 	return tracer.Link{}
 }
 
-// callCharge returns nil where the target did not answer.
-func (t *Treasurer) callCharge(m *term, s Send) *messenger.ChargeReply {
+// callCharge sends a batch to its target and returns nil if the target did
+// not answer.
+func (t *Treasurer) callCharge(m *session, s Send) *messenger.ChargeReply {
 	ctx, cancel := t.callContext()
 	defer cancel()
-	ctx = m.traceOf(s).Resume(ctx)
+	ctx = m.batchTrace(s).Resume(ctx)
 	r := &messenger.ChargeRequest{
 		Router: t.options.Router, Incarnation: uint64(m.incarnation), Charges: s.Charges(), Zone: t.options.Zone,
 	}
--- a/treasurer/shortage.go
+++ b/treasurer/shortage.go
@@ -8,53 +8,54 @@
 	"rattanhoist.example/rattanhoist"
 )
 
-// Times to come back, by what lifts the refusal.
+// Delays before a retry, by the event that makes rights available.
 const (
-	afterSettlement = time.Second
-	afterRepair     = 5 * time.Second
+	retryAfterSettlement = time.Second
+	retryAfterRepair     = 5 * time.Second
 )
 
-// Shortage is a refusal for lack of budget. errors.Is finds
-// rattanhoist.ErrBudgetSpent or rattanhoist.ErrBudgetOutOfReach in it.
+// Shortage is the error for a request that the budget can't cover. It wraps
+// rattanhoist.ErrBudgetSpent or rattanhoist.ErrBudgetOutOfReach.
 type Shortage struct {
-	cause  error
-	detail string
-	after  time.Duration
-	// Possible is what others held that may come within the deadline.
-	possible rattanhoist.Tokens
-	// Silent reports whether some zones did not answer.
-	silent bool
-	// Known is when the keeper, or its silence, said so.
-	known time.Time
-	age   time.Duration
+	cause      error
+	detail     string
+	retryAfter time.Duration
+	// obtainable is the number of tokens held by others that may become
+	// available before the deadline.
+	obtainable rattanhoist.Tokens
+	// zonesUnreachable reports whether some zones did not answer.
+	zonesUnreachable bool
+	// foundAt is when the keeper reported the shortage or stopped answering.
+	foundAt time.Time
+	age     time.Duration
 }
 
-// Error says what is missing and how old the knowledge is.
+// Error returns the cause, its details and the age of the information.
 func (s *Shortage) Error() string {
 	return fmt.Sprintf("%v: %s (known for %s)", s.cause, s.detail, s.age.Round(time.Millisecond))
 }
 
-// Unwrap returns the sentinel.
+// Unwrap returns the sentinel error.
 func (s *Shortage) Unwrap() error { return s.cause }
 
-// RetryAfter returns when to come back; 0 where only a top-up helps.
-func (s *Shortage) RetryAfter() time.Duration { return s.after }
+// RetryAfter returns the delay before a retry, or 0 if only a top-up helps.
+func (s *Shortage) RetryAfter() time.Duration { return s.retryAfter }
 
-// Age returns how long ago the refusal was found to be true.
+// Age returns the time since the shortage was found.
 func (s *Shortage) Age() time.Duration { return s.age }
 
-func (s *Shortage) at(now time.Time) *Shortage {
+func (s *Shortage) withAge(now time.Time) *Shortage {
 	c := *s
-	c.age = now.Sub(s.known)
+	c.age = now.Sub(s.foundAt)
 	return &c
 }
 
-func outOfReach(now time.Time, after time.Duration, detail string) *Shortage {
-	return &Shortage{cause: rattanhoist.ErrBudgetOutOfReach, detail: detail, after: after, known: now}
+func newOutOfReach(now time.Time, after time.Duration, detail string) *Shortage {
+	return &Shortage{cause: rattanhoist.ErrBudgetOutOfReach, detail: detail, retryAfter: after, foundAt: now}
 }
 
-func spentOut(now time.Time) *Shortage {
-	return &Shortage{cause: rattanhoist.ErrBudgetSpent, detail: "what is left anywhere does not cover the request", known: now}
+func newSpent(now time.Time) *Shortage {
+	return &Shortage{cause: rattanhoist.ErrBudgetSpent, detail: "what is left anywhere does not cover the request", foundAt: now}
 }
 
-func join(zones []string) string { return strings.Join(zones, ", ") }
+func joinZones(zones []string) string { return strings.Join(zones, ", ") }
--- a/treasurer/core_test.go
+++ b/treasurer/simulation_test.go
@@ -12,33 +12,33 @@
 	"rattanhoist.example/rattanhoist/treasurer"
 )
 
-// world runs an account and an outbox before a flat book, through messages
-// that are lost, repeated, held back and reordered.
-type world struct {
+// simulation connects an account and an outbox to a simple model of the
+// keeper. Messages may be lost, repeated, delayed and reordered.
+type simulation struct {
 	now     time.Time
 	policy  treasurer.Policy
 	account *treasurer.Account
 	outbox  *treasurer.Outbox
-	// Calls and replies wait for delivery.
+	// calls and replies wait for delivery.
 	calls []any
-	// Late holds calls that timed out and are still under way.
-	late    []any
-	replies []func()
-	// Book is the keeper's: unspent, and the lease of this incarnation.
+	// lateCalls holds calls that timed out and may still be delivered.
+	lateCalls []any
+	replies   []func()
+	// unspent, lease and bills are the state of the model keeper.
 	unspent int64
 	lease   lease
 	bills   map[string]int64
-	// Completed holds the requests whose answer has gone to the caller.
+	// completed holds the requests whose answer was completed.
 	completed map[string]bool
 	reserved  map[string]rattanhoist.Tokens
 	next      int
 }
 
-const minted = 5000
+const initialTokens = 5000
 
-func newWorld() *world {
-	w := &world{
-		now: time.Unix(1_000_000, 0), policy: treasurer.DefaultPolicy(), unspent: minted,
+func newSimulation() *simulation {
+	w := &simulation{
+		now: time.Unix(1_000_000, 0), policy: treasurer.DefaultPolicy(), unspent: initialTokens,
 		bills: map[string]int64{}, completed: map[string]bool{}, reserved: map[string]rattanhoist.Tokens{},
 	}
 	w.account = treasurer.NewAccount("w", &w.policy, w.now, treasurer.Rest{})
@@ -46,7 +46,7 @@
 	return w
 }
 
-func (w *world) step(e treasurer.Event) {
+func (w *simulation) step(e treasurer.Event) {
 	for _, a := range w.account.Step(w.now, e) {
 		switch a.(type) {
 		case treasurer.SendLease, treasurer.SendReturn:
@@ -55,14 +55,15 @@
 	}
 }
 
-func (w *world) send(sends []treasurer.Send) {
+func (w *simulation) send(sends []treasurer.Send) {
 	for _, s := range sends {
 		w.calls = append(w.calls, s)
 	}
 }
 
-// request reserves for a new request, or asks for rights.
-func (w *world) request(n int64) {
+// request reserves tokens for a new request, or leases rights if the slice
+// holds too few.
+func (w *simulation) request(n int64) {
 	if !w.account.Slice().Reserve(rattanhoist.Tokens(n)) {
 		w.step(treasurer.Need{Tokens: rattanhoist.Tokens(n), Waiting: rattanhoist.Tokens(n), GiveUp: w.now})
 		return
@@ -71,8 +72,8 @@
 	w.reserved[fmt.Sprint(w.next)] = rattanhoist.Tokens(n)
 }
 
-// finish charges a running request at part of what it reserved.
-func (w *world) finish(id string, percent int64) {
+// finish charges a running request for part of its reservation.
+func (w *simulation) finish(id string, percent int64) {
 	cost := int64(w.reserved[id]) * percent / 100
 	sends, ok := w.outbox.Add(w.now, &messenger.Charge{Workspace: "w", RequestId: id, Tokens: cost})
 	if !ok {
@@ -83,15 +84,15 @@
 	w.send(sends)
 }
 
-// carryOut lets the keeper handle a call; its answer may be delivered later.
-func (w *world) carryOut(c any) {
+// handleCall makes the keeper handle a call and queues its reply.
+func (w *simulation) handleCall(c any) {
 	switch c := c.(type) {
 	case treasurer.SendLease:
 		if c.Sequence > w.lease.sequence {
 			n := min(int64(c.Want), w.unspent)
 			w.unspent -= n
 			w.lease.granted += n
-			w.lease.out += n
+			w.lease.outstanding += n
 			w.lease.sequence, w.lease.last = c.Sequence, n
 		}
 		r := &messenger.LeaseReply{TotalGrantedTokens: w.lease.granted, ZoneLeftTokens: w.unspent}
@@ -102,24 +103,24 @@
 	case treasurer.SendReturn:
 		if c.Sequence > w.lease.sequence {
 			w.lease.sequence, w.lease.last = c.Sequence, 0
-			w.lease.out -= int64(c.Tokens)
+			w.lease.outstanding -= int64(c.Tokens)
 			w.unspent += int64(c.Tokens)
 		}
 		w.replies = append(w.replies, func() { w.step(treasurer.Returned{Sequence: c.Sequence}) })
 	case treasurer.Send:
-		w.carryOutCharges(c)
+		w.handleCharges(c)
 	}
 }
 
-func (w *world) carryOutCharges(s treasurer.Send) {
+func (w *simulation) handleCharges(s treasurer.Send) {
 	r := &messenger.ChargeReply{TwoDisks: s.Target == treasurer.OwnKeeper}
 	for _, c := range s.Charges() {
 		out := &messenger.ChargeResult{State: messenger.ChargeState_CHARGE_STATE_BILLED, BilledTokens: c.Tokens, SpentTokens: c.Tokens}
 		if _, known := w.bills[c.RequestId]; !known && s.Target == treasurer.OwnKeeper {
-			if w.lease.out < c.Tokens {
+			if w.lease.outstanding < c.Tokens {
 				out.State = messenger.ChargeState_CHARGE_STATE_NOT_LEASED
 			} else {
-				w.lease.out -= c.Tokens
+				w.lease.outstanding -= c.Tokens
 				w.bills[c.RequestId] = c.Tokens
 			}
 		}
@@ -128,7 +129,7 @@
 	w.replies = append(w.replies, func() { w.answered(s, r) })
 }
 
-func (w *world) answered(s treasurer.Send, r *messenger.ChargeReply) {
+func (w *simulation) answered(s treasurer.Send, r *messenger.ChargeReply) {
 	known, more := w.outbox.Answered(w.now, s, r)
 	for _, o := range known {
 		id := o.Key.RequestID()
@@ -144,9 +145,9 @@
 	w.send(more)
 }
 
-// fail lets a call end without an answer; the keeper has carried it out only
-// if it was delivered before.
-func (w *world) fail(c any) {
+// callFailed ends a call without an answer. The keeper has handled it only if
+// it was delivered before.
+func (w *simulation) callFailed(c any) {
 	switch c := c.(type) {
 	case treasurer.SendLease:
 		w.step(treasurer.Failed{Sequence: c.Sequence})
@@ -157,37 +158,37 @@
 	}
 }
 
-func (w *world) tick(d time.Duration) {
+func (w *simulation) tick(d time.Duration) {
 	w.now = w.now.Add(d)
 	w.step(treasurer.Tick{})
 	w.send(w.outbox.Tick(w.now))
 }
 
-func cut[T any](from *[]T, i int) T {
+func removeAt[T any](from *[]T, i int) T {
 	x := (*from)[i]
 	*from = append((*from)[:i:i], (*from)[i+1:]...)
 	return x
 }
 
-// heal delivers everything until nothing is left to say.
-func (w *world) heal() {
+// deliverAll delivers every message until nothing is pending.
+func (w *simulation) deliverAll() {
 	for range 400 {
 		for len(w.calls) > 0 {
-			w.carryOut(cut(&w.calls, 0))
+			w.handleCall(removeAt(&w.calls, 0))
 		}
 		for len(w.replies) > 0 {
-			cut(&w.replies, 0)()
+			removeAt(&w.replies, 0)()
 		}
 		w.tick(500 * time.Millisecond)
 	}
 }
 
-// TestCoresConserveUnderAnyNetwork checks after every step that the router
-// can't spend more than its keeper has leased, and after the heal that every
-// token is where the flat book says.
-func TestCoresConserveUnderAnyNetwork(t *testing.T) {
+// After every step the router may not spend more than its keeper has leased
+// to it. After all messages are delivered, the router's and the keeper's
+// balances must agree.
+func TestRightsAreConservedUnderMessageFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newSimulation()
 		some := func(n int) bool { return n > 0 }
 		t.Repeat(map[string]func(*rapid.T){
 			"request": func(t *rapid.T) { w.request(rapid.Int64Range(1, 900).Draw(t, "tokens")) },
@@ -205,7 +206,7 @@
 			},
 			"deliver": func(t *rapid.T) {
 				if some(len(w.calls)) {
-					w.carryOut(cut(&w.calls, rapid.IntRange(0, len(w.calls)-1).Draw(t, "call")))
+					w.handleCall(removeAt(&w.calls, rapid.IntRange(0, len(w.calls)-1).Draw(t, "call")))
 				}
 			},
 			"time_out": func(t *rapid.T) {
@@ -213,52 +214,52 @@
 					c := w.calls[rapid.IntRange(0, len(w.calls)-1).Draw(t, "call")]
 					switch rapid.SampledFrom([]string{"lost", "answer lost", "late"}).Draw(t, "fate") {
 					case "answer lost":
-						w.carryOutInVain(c)
+						w.handleCallLoseReply(c)
 					case "late":
-						w.late = append(w.late, c)
+						w.lateCalls = append(w.lateCalls, c)
 					}
 					w.drop(c)
-					w.fail(c)
+					w.callFailed(c)
 				}
 			},
 			"late": func(t *rapid.T) {
-				if some(len(w.late)) {
-					w.carryOutInVain(cut(&w.late, rapid.IntRange(0, len(w.late)-1).Draw(t, "call")))
+				if some(len(w.lateCalls)) {
+					w.handleCallLoseReply(removeAt(&w.lateCalls, rapid.IntRange(0, len(w.lateCalls)-1).Draw(t, "call")))
 				}
 			},
 			"answer": func(t *rapid.T) {
 				if some(len(w.replies)) {
-					cut(&w.replies, rapid.IntRange(0, len(w.replies)-1).Draw(t, "reply"))()
+					removeAt(&w.replies, rapid.IntRange(0, len(w.replies)-1).Draw(t, "reply"))()
 				}
 			},
 			"": func(t *rapid.T) {
 				s := w.account.Slice()
-				if held := s.Granted() - s.Withdrawn() - s.Spent(); int64(held) > w.lease.out+w.billedUnsettled() {
-					t.Fatalf("the router may spend %d, the keeper has leased %d", held, w.lease.out)
+				if held := s.Granted() - s.Withdrawn() - s.Spent(); int64(held) > w.lease.outstanding+w.billedUnsettled() {
+					t.Fatalf("the router may spend %d, the keeper has leased %d", held, w.lease.outstanding)
 				}
 			},
 		})
-		w.heal()
-		w.check(t)
+		w.deliverAll()
+		w.checkBalances(t)
 	})
 }
 
-func (w *world) carryOutInVain(c any) {
-	w.carryOut(c)
+func (w *simulation) handleCallLoseReply(c any) {
+	w.handleCall(c)
 	w.replies = w.replies[:len(w.replies)-1]
 }
 
-// drop removes a call that timed out: the keeper gets it no more.
-func (w *world) drop(c any) {
+// drop removes a call that timed out, so that it is not delivered.
+func (w *simulation) drop(c any) {
 	for i, x := range w.calls {
-		if same(x, c) {
-			cut(&w.calls, i)
+		if sameCall(x, c) {
+			removeAt(&w.calls, i)
 			return
 		}
 	}
 }
 
-func same(a, b any) bool {
+func sameCall(a, b any) bool {
 	x, ok := a.(treasurer.Send)
 	y, also := b.(treasurer.Send)
 	if ok || also {
@@ -267,8 +268,9 @@
 	return a == b
 }
 
-// billedUnsettled is billed already and still counted as held by the router.
-func (w *world) billedUnsettled() int64 {
+// billedUnsettled returns the tokens that the keeper has billed and the
+// router still counts as held.
+func (w *simulation) billedUnsettled() int64 {
 	var n int64
 	for id, tokens := range w.bills {
 		if !w.completed[id] {
@@ -278,17 +280,17 @@
 	return n
 }
 
-func (w *world) check(t *rapid.T) {
+func (w *simulation) checkBalances(t *rapid.T) {
 	s := w.account.Slice()
 	var charged int64
 	for _, n := range w.bills {
 		charged += n
 	}
-	if w.unspent+w.lease.out+charged != minted {
-		t.Fatalf("unspent %d + leased %d + charged %d is not %d", w.unspent, w.lease.out, charged, minted)
+	if w.unspent+w.lease.outstanding+charged != initialTokens {
+		t.Fatalf("unspent %d + leased %d + charged %d is not %d", w.unspent, w.lease.outstanding, charged, initialTokens)
 	}
-	if held := int64(s.Left() + s.Reserved()); held != w.lease.out {
-		t.Fatalf("the router holds %d, the keeper has leased %d", held, w.lease.out)
+	if held := int64(s.Left() + s.Reserved()); held != w.lease.outstanding {
+		t.Fatalf("the router holds %d, the keeper has leased %d", held, w.lease.outstanding)
 	}
 	for id := range w.completed {
 		if _, ok := w.bills[id]; !ok {
--- a/treasurer/spend_test.go
+++ b/treasurer/spend_test.go
@@ -15,25 +15,26 @@
 	"rattanhoist.example/rattanhoist/treasurer"
 )
 
-// breakingKeeper serves a fake keeper and breaks every connection when a third
-// of the calls has been carried out and not answered.
+// breakingKeeper serves a fake keeper. After every third call that it has
+// handled, it closes all connections instead of answering.
 type breakingKeeper struct {
 	messenger.UnimplementedBudgetKeeperServer
-	book   *fakeKeeper
-	calls  atomic.Int64
-	broken atomic.Int64
-	mu     sync.Mutex
-	conns  []net.Conn
+	book        *fakeKeeper
+	calls       atomic.Int64
+	disconnects atomic.Int64
+	mu          sync.Mutex
+	conns       []net.Conn
 }
 
 const breakEvery = 3
 
-// end breaks the connections after every third call, before its answer.
-func (k *breakingKeeper) end(ctx context.Context) {
+// breakConnections closes the connections on every third call, before its
+// answer.
+func (k *breakingKeeper) breakConnections(ctx context.Context) {
 	if k.calls.Add(1)%breakEvery != 0 {
 		return
 	}
-	k.broken.Add(1)
+	k.disconnects.Add(1)
 	k.mu.Lock()
 	for _, c := range k.conns {
 		_ = c.Close()
@@ -52,27 +53,27 @@
 }
 
 func (k *breakingKeeper) Lease(ctx context.Context, r *messenger.LeaseRequest) (*messenger.LeaseReply, error) {
-	defer k.end(ctx)
+	defer k.breakConnections(ctx)
 	return k.book.Lease(ctx, r)
 }
 
 func (k *breakingKeeper) Return(ctx context.Context, r *messenger.ReturnRequest) (*messenger.ReturnReply, error) {
-	defer k.end(ctx)
+	defer k.breakConnections(ctx)
 	return k.book.Return(ctx, r)
 }
 
 func (k *breakingKeeper) Charge(ctx context.Context, r *messenger.ChargeRequest) (*messenger.ChargeReply, error) {
-	defer k.end(ctx)
+	defer k.breakConnections(ctx)
 	return k.book.Charge(ctx, r)
 }
 
-// keptConns keeps what a listener accepts, to be broken.
-type keptConns struct {
+// recordingListener records accepted connections for the keeper to close.
+type recordingListener struct {
 	net.Listener
 	keeper *breakingKeeper
 }
 
-func (l keptConns) Accept() (net.Conn, error) {
+func (l recordingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
 		l.keeper.mu.Lock()
@@ -82,10 +83,10 @@
 	return c, err
 }
 
-// Symptom: a request is billed twice or not at all, a caller waits for ever,
-// or rights are lost. Sequence: a stream breaks again and again while charges,
-// leases and returns are carried out and not answered. Cause: what was on a
-// broken stream is made again under another identity, or not made again.
+// Guards against requests billed twice or not at all, callers that wait
+// forever, and lost rights. The stream breaks repeatedly after charges,
+// leases and returns were handled and before they are answered. Calls on a
+// broken stream must be resent, under the same identity.
 func TestBrokenStreamsBillEachChargeOnce(t *testing.T) {
 	const paid, cost, requests = 10_000, 3, 60
 	g := gomega.NewWithT(t)
@@ -95,14 +96,14 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	server := messenger.NewServer(messenger.Keys{messenger.RoleMember: key})
 	messenger.RegisterBudgetKeeperServer(server, k)
-	go func() { _ = server.Serve(keptConns{Listener: l, keeper: k}) }()
+	go func() { _ = server.Serve(recordingListener{Listener: l, keeper: k}) }()
 	defer server.Stop()
 	conn, err := messenger.NewDialer("r", messenger.RoleMember, key).Dial(l.Addr().String())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer func() { _ = conn.Close() }()
-	client, closeSpender := messenger.NewSpender(messenger.NewBudgetKeeperClient(conn), "z")
+	keeperClient, closeSpender := messenger.NewSpender(messenger.NewBudgetKeeperClient(conn), "z")
 	defer closeSpender()
-	money, end := treasurer.New(treasurer.Options{Router: "r", Zone: "z", Incarnation: 1, Keeper: client, Policy: treasurer.DefaultPolicy()})
+	client, end := treasurer.New(treasurer.Options{Router: "r", Zone: "z", Incarnation: 1, Keeper: keeperClient, Policy: treasurer.DefaultPolicy()})
 	defer end()
 
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -110,7 +111,7 @@
 	var all sync.WaitGroup
 	for i := range requests {
 		all.Go(func() {
-			r, err := money.Reserve(ctx, "w", 2*cost)
+			r, err := client.Reserve(ctx, "w", 2*cost)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			billed, err := r.Charge(ctx, &messenger.Charge{Workspace: "w", RequestId: fmt.Sprint(i), Tokens: cost})
 			g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -121,9 +122,9 @@
 		}
 	}
 	all.Wait()
-	money.GiveBack(ctx)
+	client.GiveBack(ctx)
 	g.Expect(ctx.Err()).NotTo(gomega.HaveOccurred(), "the return is not answered")
-	g.Expect(k.broken.Load()).To(gomega.BeNumerically(">=", 2))
+	g.Expect(k.disconnects.Load()).To(gomega.BeNumerically(">=", 2))
 	unspent, leased, charged := k.book.books()
 	g.Expect([]int64{unspent, leased, charged}).To(gomega.Equal([]int64{paid - requests*cost, 0, requests * cost}))
 }
--- a/treasurer/treasurer.go
+++ b/treasurer/treasurer.go
@@ -1,9 +1,9 @@
-// Package treasurer is the router's side of the prepaid budgets: it leases
+// Package treasurer spends prepaid budgets on the router's side. It leases
 // rights ahead of need, lets requests reserve from them without a round trip,
-// and makes every charge durable before its answer completes.
+// and makes every charge durable before the request's answer completes.
 //
-// Account and Outbox are pure state machines; Treasurer is the shell that
-// calls the keeper for them.
+// Account and Outbox are pure state machines; Treasurer runs them and calls
+// the keeper.
 package treasurer
 
 import (
@@ -19,57 +19,59 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Errors of billing. Compare with errors.Is.
+// Billing errors, to be compared with errors.Is.
 var (
-	// ErrFenced says that this router's incarnation may not spend any more;
-	// the answer must not be completed.
+	// ErrFenced means that this router's incarnation may no longer spend. The
+	// answer must not be completed.
 	ErrFenced = merry.Sentinel("router incarnation is fenced")
-	// ErrNotBilled says that the keeper refused a charge; the answer must not
-	// be completed.
+	// ErrNotBilled means that the charge was refused. The answer must not be
+	// completed.
 	ErrNotBilled = merry.Sentinel("charge refused")
-	// ErrInDoubt says that no disk is known to have the charge; it is sent on.
+	// ErrInDoubt means that no disk is known to have the charge. The charge
+	// is still resent.
 	ErrInDoubt = merry.Sentinel("no keeper has confirmed the charge")
-	// ErrFull says that too many charges wait for a keeper.
+	// ErrFull means that the outbox is full.
 	ErrFull = merry.Sentinel("too many charges wait for a keeper")
 )
 
 // Keeper is the part of the budget protocol that a router calls.
 type Keeper = messenger.BudgetKeeperClient
 
-// Options describe a treasurer.
+// Options configure a Treasurer.
 type Options struct {
 	Router, Zone string
-	// Incarnation is higher than that of every earlier start.
+	// Incarnation must be higher than that of every earlier start.
 	Incarnation rattanhoist.Incarnation
-	// Keeper is the zone's own.
+	// Keeper is the keeper of the router's own zone.
 	Keeper Keeper
-	// Witness is the keeper to use until the own one names another; nil for
-	// none.
+	// Witness is used until the own keeper names another; nil for none.
 	Witness Keeper
-	// Dial connects to the witness that the own keeper names; nil ignores it.
+	// Dial connects to the witness that the own keeper names. If it is nil,
+	// that name is ignored.
 	Dial   func(address string) (Keeper, func(), error)
 	Policy Policy
 	Log    *zap.Logger
 }
 
-// Treasurer leases, settles and bills for one router.
+// Treasurer leases rights and bills charges for one router. It is safe for
+// concurrent use.
 type Treasurer struct {
 	options Options
 	policy  *Policy
-	// Term is replaced when the keeper fences the incarnation.
-	term    atomic.Pointer[term]
-	renewal sync.Mutex
-	witness atomic.Pointer[witness]
-	// Solo is the latest mark that a keeper left here.
-	solo atomic.Pointer[messenger.HoldingsRequest]
-	// Told is the latest vault that asked what this router holds. An answer of
-	// an earlier vault, still under way then, would add rights that the later
-	// one does not know of.
-	told atomic.Uint64
-	// Renewals counts the incarnations that were fenced in a row.
-	renewals   atomic.Int64
-	background context.Context
-	work       sync.WaitGroup
+	// session is replaced when the keeper fences the incarnation.
+	session   atomic.Pointer[session]
+	replaceMu sync.Mutex
+	witness   atomic.Pointer[witness]
+	// soloMark is the latest solo commit that a keeper has stored here.
+	soloMark atomic.Pointer[messenger.HoldingsRequest]
+	// newestVault is the latest vault incarnation that asked for this
+	// router's holdings. A lease reply from an earlier vault that is still in
+	// flight would add rights that the newer vault does not know of.
+	newestVault atomic.Uint64
+	// consecutiveFences counts the incarnations fenced in a row.
+	consecutiveFences atomic.Int64
+	background        context.Context
+	work              sync.WaitGroup
 }
 
 type witness struct {
@@ -78,26 +80,26 @@
 	close   func()
 }
 
-// Steps between incarnations of one process, of which the last doubles the
-// first maxDoublings times.
+// The step from one incarnation of a process to the next starts at
+// firstIncarnationStep and doubles at most maxStepDoublings times.
 const (
-	firstJump    = time.Second
-	maxDoublings = 24
+	firstIncarnationStep = time.Second
+	maxStepDoublings     = 24
 )
 
-// New returns a treasurer that registers its incarnation and looks after its
-// slices until the returned function is called; that function waits for every
-// call in progress.
+// New returns a treasurer that registers its incarnation and maintains its
+// slices until the returned function is called. That function waits for all
+// calls in flight.
 func New(o Options) (*Treasurer, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &Treasurer{options: o, policy: &o.Policy, background: ctx}
 	if t.options.Log == nil {
 		t.options.Log = zap.NewNop()
 	}
-	t.solo.Store(&messenger.HoldingsRequest{})
+	t.soloMark.Store(&messenger.HoldingsRequest{})
 	t.witness.Store(&witness{keeper: o.Witness, close: func() {}})
-	t.begin(o.Incarnation)
-	t.work.Go(t.look)
+	t.startSession(o.Incarnation)
+	t.work.Go(t.tickLoop)
 	return t, func() {
 		cancel()
 		t.work.Wait()
@@ -105,35 +107,35 @@
 	}
 }
 
-// begin opens a term: an incarnation that holds nothing yet.
-func (t *Treasurer) begin(i rattanhoist.Incarnation) {
-	m := newTerm(i, t.policy)
-	t.term.Store(m)
+// startSession starts an incarnation that holds no rights.
+func (t *Treasurer) startSession(i rattanhoist.Incarnation) {
+	m := newSession(i, t.policy)
+	t.session.Store(m)
 	t.work.Go(func() { t.register(m) })
-	t.work.Go(func() { t.pump(m) })
+	t.work.Go(func() { t.resendLoop(m) })
 }
 
-// renew goes on under a new incarnation once the keeper has fenced one. What
-// the old one held is the keeper's to return. The step doubles: after a clock
-// that was set back, the keeper knows incarnations far above the clock's. The
-// caller may hold the old term's mu.
-func (t *Treasurer) renew(old *term) {
-	t.renewal.Lock()
-	defer t.renewal.Unlock()
-	if t.term.Load() != old || t.background.Err() != nil {
+// replaceSession starts a new incarnation after the keeper has fenced the old
+// one, whose rights the keeper takes back. The step doubles, because after
+// the clock was set back the keeper may know incarnations far above the
+// current time. The caller may hold the old session's mu.
+func (t *Treasurer) replaceSession(old *session) {
+	t.replaceMu.Lock()
+	defer t.replaceMu.Unlock()
+	if t.session.Load() != old || t.background.Err() != nil {
 		return
 	}
 	counters.fenced.Add(1)
-	jump := firstJump << min(t.renewals.Add(1)-1, maxDoublings)
+	jump := firstIncarnationStep << min(t.consecutiveFences.Add(1)-1, maxStepDoublings)
 	next := max(rattanhoist.Incarnation(time.Now().UnixNano()), old.incarnation+rattanhoist.Incarnation(jump))
 	t.options.Log.Warn("incarnation is fenced; going on under a new one",
 		zap.Uint64("fenced", uint64(old.incarnation)), zap.Uint64("incarnation", uint64(next)))
-	old.end()
-	t.begin(next)
+	old.markFenced()
+	t.startSession(next)
 }
 
-// look lets time pass for every account.
-func (t *Treasurer) look() {
+// tickLoop sends a Tick to every account once per TickInterval.
+func (t *Treasurer) tickLoop() {
 	tick := time.NewTicker(t.policy.TickEvery)
 	defer tick.Stop()
 	for {
@@ -141,16 +143,16 @@
 		case <-t.background.Done():
 			return
 		case <-tick.C:
-			for h := range t.term.Load().holders() {
-				h.poked.Store(false)
+			for h := range t.session.Load().allAccounts() {
+				h.lowTickSent.Store(false)
 				t.step(h, Tick{})
 			}
 		}
 	}
 }
 
-// step has an account handle an event and starts what it asks for.
-func (t *Treasurer) step(h *holder, e Event) {
+// step applies an event to an account and carries out the resulting actions.
+func (t *Treasurer) step(h *managedAccount, e Event) {
 	h.mu.Lock()
 	actions := h.Step(time.Now(), e)
 	if _, tick := e.(Tick); !tick {
@@ -160,31 +162,32 @@
 	t.perform(h, actions)
 }
 
-// perform starts calls and returns the answer to a Need.
-func (t *Treasurer) perform(h *holder, actions []Action) (until time.Time, refusal *Shortage) {
+// perform carries out actions and returns the result for a waiting request.
+func (t *Treasurer) perform(h *managedAccount, actions []Action) (until time.Time, refusal *Shortage) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case SendLease:
-			t.work.Go(func() { t.lease(h, a) })
+			t.work.Go(func() { t.callLease(h, a) })
 		case SendReturn:
-			t.work.Go(func() { t.giveBack(h, a) })
+			t.work.Go(func() { t.callReturn(h, a) })
 		case Wait:
 			until = a.Until
 		case Refuse:
 			refusal = a.Err
 		case Retire:
-			h.term.retire(h)
+			h.session.retire(h)
 		}
 	}
 	return until, refusal
 }
 
-// leased takes a lease's answer, unless a later vault was told meanwhile what
-// this router holds; then the same lease goes out again, to that vault.
-func (t *Treasurer) leased(h *holder, sequence uint64, r *messenger.LeaseReply) {
+// handleLeaseReply applies a lease's reply. If a later vault has asked for
+// this router's holdings meanwhile, it drops the reply and resends the lease
+// to that vault.
+func (t *Treasurer) handleLeaseReply(h *managedAccount, sequence uint64, r *messenger.LeaseReply) {
 	h.mu.Lock()
 	var e Event = Leased{Sequence: sequence, Reply: r}
-	if r.VaultIncarnation > 0 && r.VaultIncarnation < t.told.Load() {
+	if r.VaultIncarnation > 0 && r.VaultIncarnation < t.newestVault.Load() {
 		e = Failed{Sequence: sequence}
 	}
 	actions := h.Step(time.Now(), e)
@@ -193,24 +196,24 @@
 	t.perform(h, actions)
 }
 
-// Incarnation returns the incarnation that spends now.
-func (t *Treasurer) Incarnation() rattanhoist.Incarnation { return t.term.Load().incarnation }
+// Incarnation returns the current incarnation.
+func (t *Treasurer) Incarnation() rattanhoist.Incarnation { return t.session.Load().incarnation }
 
-// Held returns the rights of all workspaces that are leased and not spent.
+// Held returns the leased and unspent rights of all workspaces.
 func (t *Treasurer) Held() rattanhoist.Tokens {
 	var n rattanhoist.Tokens
-	for h := range t.term.Load().holders() {
+	for h := range t.session.Load().allAccounts() {
 		n += h.slice.Left() + h.slice.Reserved()
 	}
 	return n
 }
 
-// Recall returns up to the wanted rights to the keeper, so that a sibling can
-// spend them, and waits until the keeper has them.
+// Recall returns up to the wanted number of tokens to the keeper for another
+// router to lease, and waits until the keeper has answered.
 func (t *Treasurer) Recall(ctx context.Context, r *messenger.RecallRequest) (*messenger.RecallReply, error) {
-	m := t.term.Load()
+	m := t.session.Load()
 	out := &messenger.RecallReply{Incarnation: uint64(m.incarnation), AnsweredBeforeMs: m.answeredBefore()}
-	h, ok := m.find(r.Workspace)
+	h, ok := m.lookUp(r.Workspace)
 	if !ok {
 		return out, nil
 	}
@@ -222,35 +225,35 @@
 	return out, nil
 }
 
-// GiveBack returns what is not reserved, and waits until the keeper has the
-// returns and the charges or ctx ends; it is for shutdown.
+// ReturnAll returns all unreserved rights for shutdown. It waits until the
+// keeper has the returns and the charges, or until ctx ends.
 func (t *Treasurer) GiveBack(ctx context.Context) {
-	m := t.term.Load()
-	for h := range m.holders() {
+	m := t.session.Load()
+	for h := range m.allAccounts() {
 		t.step(h, Recall{Tokens: h.slice.Left()})
 	}
-	for h := range m.holders() {
+	for h := range m.allAccounts() {
 		h.awaitReturn(ctx)
-		// What a lease in progress brought meanwhile goes back as well.
+		// A lease in progress may have added rights meanwhile.
 		t.step(h, Recall{Tokens: h.slice.Left()})
 		h.awaitReturn(ctx)
 	}
 	m.awaitCharges(ctx)
 }
 
-// Holdings reports what this router holds, as proof for a keeper whose copy
-// may be behind, and keeps the keeper's mark.
+// Holdings reports this router's rights and charges to a keeper whose state
+// may be outdated, and stores the keeper's solo commit.
 func (t *Treasurer) Holdings(_ context.Context, r *messenger.HoldingsRequest) (*messenger.HoldingsReply, error) {
-	for told := t.told.Load(); r.AskingIncarnation > told; told = t.told.Load() {
-		t.told.CompareAndSwap(told, r.AskingIncarnation)
+	for told := t.newestVault.Load(); r.AskingIncarnation > told; told = t.newestVault.Load() {
+		t.newestVault.CompareAndSwap(told, r.AskingIncarnation)
 	}
-	m := t.term.Load()
+	m := t.session.Load()
 	out := &messenger.HoldingsReply{Router: t.options.Router, Incarnation: uint64(m.incarnation)}
-	m.describe(out)
-	mark := t.solo.Load()
+	m.fillHoldings(out)
+	mark := t.soloMark.Load()
 	out.VaultIncarnation, out.SoloCommit = mark.VaultIncarnation, mark.SoloCommit
 	if r.SoloCommit > 0 {
-		t.solo.Store(r)
+		t.soloMark.Store(r)
 	}
 	return out, nil
 }
--- a/treasurer/promise_test.go
+++ b/treasurer/watermark_test.go
@@ -14,15 +14,15 @@
 	return &messenger.ChargeReply{Results: []*messenger.ChargeResult{{State: state}}, TwoDisks: twoDisks}
 }
 
-// Symptom: a bill is pruned and its request billed again, or a charge is refused
-// as too old and its answer never billed. Cause: a promise that is ahead of a
-// charge which two disks don't have.
-func TestPromiseStaysBehindOpenCharges(t *testing.T) {
+// Guards against a bill that is pruned so that its request is billed again,
+// and against a charge that is refused as too old and never billed. Both
+// happen when the watermark passes a charge that is not on two disks.
+func TestWatermarkStaysBehindOpenCharges(t *testing.T) {
 	g := gomega.NewWithT(t)
 	policy, now := treasurer.DefaultPolicy(), time.UnixMilli(5000)
 	o := treasurer.NewOutbox(&policy)
 	g.Expect(o.AnsweredBefore(now)).To(gomega.BeEquivalentTo(5000))
-	// A clock that is set back makes no charge of a time that was promised.
+	// A clock that is set back produces no charge before the watermark.
 	c := &messenger.Charge{Workspace: "w", RequestId: "1", ChargedAtMs: 4000}
 	sends, ok := o.Add(now, c)
 	g.Expect(ok).To(gomega.BeTrue())
@@ -34,7 +34,8 @@
 	now = now.Add(time.Second)
 	o.Answered(now, sends[0], result(messenger.ChargeState_CHARGE_STATE_BILLED, true))
 	g.Expect(o.AnsweredBefore(now)).To(gomega.BeEquivalentTo(7000))
-	// What the keeper refuses may be at the witness: only a fence tells.
+	// The witness may have a charge that the keeper refuses. Only a fence
+	// resolves it.
 	sends, _ = o.Add(now, &messenger.Charge{Workspace: "w", RequestId: "2", ChargedAtMs: 8000})
 	o.Answered(now, sends[0], result(messenger.ChargeState_CHARGE_STATE_NOT_LEASED, true))
 	g.Expect(o.AnsweredBefore(now.Add(time.Hour))).To(gomega.BeEquivalentTo(8000))
