--- a/claimer/attempt.go
+++ b/claimer/attempt.go
@@ -6,21 +6,21 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Verdict is what an attempt to claim has come to.
+// Verdict is the result of an attempt to claim a request.
 type Verdict int
 
 // Verdicts of an attempt.
 const (
-	// Pending says that answers are missing.
+	// Pending means that more answers are needed.
 	Pending Verdict = iota
-	// Granted says that this attempt alone may dispatch.
+	// Granted means that only this attempt may dispatch.
 	Granted
-	// Held says that another attempt holds the claim, or has held it.
+	// Held means that another attempt holds or held the claim.
 	Held
-	// Reused says that the id belongs to another request.
+	// Reused means that the request id was used for a different request.
 	Reused
-	// Undecided says that too few keepers could be asked: whether another
-	// attempt runs is not known.
+	// Undecided means that too few keepers answered to know whether another
+	// attempt runs.
 	Undecided
 )
 
@@ -28,23 +28,23 @@
 // safe for concurrent use.
 type Attempt struct {
 	begun time.Time
-	// Answered holds for each deciding keeper whether its answer is counted:
-	// one that came twice must not make two votes.
-	answered []bool
-	granted  int
-	failed   int
-	reused   bool
-	// Held is the row of another attempt that says most.
-	held *messenger.ClaimRow
+	// answered marks the keepers whose answer was counted, so that a
+	// duplicate does not count as a second vote.
+	answered   []bool
+	granted    int
+	notGranted int
+	reused     bool
+	// heldRow is the highest-ranked row held by another attempt.
+	heldRow *messenger.ClaimRow
 }
 
-// NewAttempt returns an attempt that asks so many keepers.
+// NewAttempt returns an attempt to be decided by the given number of keepers.
 func NewAttempt(now time.Time, voters int) *Attempt {
 	return &Attempt{begun: now, answered: make([]bool, voters)}
 }
 
-// Step takes the answer of one keeper, nil for none, and returns the verdict
-// so far.
+// Step counts the answer of one keeper, or nil if it did not answer, and
+// returns the current verdict.
 func (a *Attempt) Step(now time.Time, voter int, r *messenger.ClaimReply) Verdict {
 	if a.answered[voter] {
 		return a.verdict()
@@ -52,30 +52,30 @@
 	a.answered[voter] = true
 	switch {
 	case r == nil || now.Sub(a.begun) >= ClaimTime:
-		a.failed++
+		a.notGranted++
 	case r.Verdict == messenger.ClaimVerdict_CLAIM_VERDICT_GRANTED:
 		a.granted++
 	case r.Verdict == messenger.ClaimVerdict_CLAIM_VERDICT_HELD:
-		a.failed++
-		a.noteHeld(r.Row)
+		a.notGranted++
+		a.recordHeld(r.Row)
 	case r.Verdict == messenger.ClaimVerdict_CLAIM_VERDICT_REUSED:
-		a.failed++
+		a.notGranted++
 		a.reused = true
 	default:
-		a.failed++
+		a.notGranted++
 	}
 	return a.verdict()
 }
 
-// noteHeld prefers a finished attempt to one that runs, and both to a lost
-// row.
-func (a *Attempt) noteHeld(row *messenger.ClaimRow) {
-	if a.held == nil || rank(row.State) > rank(a.held.State) {
-		a.held = row
+// recordHeld keeps the highest-ranked row: a finished attempt over a running
+// one, and both over a lost one.
+func (a *Attempt) recordHeld(row *messenger.ClaimRow) {
+	if a.heldRow == nil || rankState(row.State) > rankState(a.heldRow.State) {
+		a.heldRow = row
 	}
 }
 
-func rank(s messenger.ClaimState) int {
+func rankState(s messenger.ClaimState) int {
 	switch s {
 	case messenger.ClaimState_CLAIM_STATE_DONE:
 		return 2
@@ -90,11 +90,11 @@
 	switch {
 	case a.granted >= a.quorum():
 		return Granted
-	case a.granted+a.failed < len(a.answered):
+	case a.granted+a.notGranted < len(a.answered):
 		return Pending
 	case a.reused:
 		return Reused
-	case a.held != nil:
+	case a.heldRow != nil:
 		return Held
 	}
 	return Undecided
@@ -103,9 +103,9 @@
 func (a *Attempt) quorum() int { return len(a.answered)/2 + 1 }
 
 // Holder returns the row of the attempt that holds the claim, or nil.
-func (a *Attempt) Holder() *messenger.ClaimRow { return a.held }
+func (a *Attempt) Holder() *messenger.ClaimRow { return a.heldRow }
 
-// OpenAfter returns how many other keepers with old disks a keeper with a new
-// one must have copied before it may decide: enough to meet every majority
-// that its lost disk was part of.
+// CopiesToOpen returns how many keepers with old disks a keeper with a new
+// disk must copy before it may decide. The number ensures an overlap with
+// every majority that the lost disk was part of.
 func OpenAfter(keepers int) int { return keepers - (keepers/2 + 1) + 1 }
--- a/claimer/claimer_test.go
+++ b/claimer/claimer_test.go
@@ -31,24 +31,25 @@
 	}
 }
 
-// mistake is a fault seeded into the protocol, to show that the oracle bites.
-type mistake int
+// seededFault is a fault added to the protocol, to show that the simulation
+// detects it.
+type seededFault int
 
 const (
-	none mistake = iota
-	oneVoteIsEnough
+	noFault seededFault = iota
+	singleVoteGrants
 	openWithoutCopy
 	openTooEarly
 	releaseAfterDispatch
 )
 
-// disk is a keeper with what it has synced.
+// disk is a keeper and the rows that it has synced.
 type disk struct {
-	core  *claimer.Core
-	rows  map[[2]string][]byte
-	named int
-	// Born is when the disk was new.
-	born time.Time
+	core       *claimer.Core
+	rows       map[[2]string][]byte
+	generation int
+	// createdAt is the time at which the disk was new.
+	createdAt time.Time
 }
 
 func (d *disk) apply(actions []claimer.Action) proto.Message {
@@ -68,7 +69,7 @@
 	return out
 }
 
-// stored is what the disk holds under a request's key.
+// stored returns the value on disk under a request's key.
 func (d *disk) stored(workspace, id string) []byte {
 	return d.rows[[2]string{claimer.BucketClaims, claimer.KeyOf(workspace, id).Row()}]
 }
@@ -82,7 +83,7 @@
 	d.apply(d.core.Step(now, claimer.Settle{Request: r, Stored: d.stored(r.Workspace, r.RequestId)}))
 }
 
-// claimRows are the rows that a keeper with a new disk copies.
+// claimRows returns the rows that a keeper with a new disk copies.
 func (d *disk) claimRows() []*messenger.ClaimRow {
 	var out []*messenger.ClaimRow
 	for key, value := range d.rows {
@@ -99,19 +100,19 @@
 	return out
 }
 
-// attempt is one router's try, with what the oracle knows of it.
+// attempt is one router's attempt to run a request, with its observed state.
 type attempt struct {
 	id         string
 	holder     *messenger.Holder
-	count      *claimer.Attempt
+	tally      *claimer.Attempt
 	begun      time.Time
 	verdict    claimer.Verdict
 	dispatched bool
 	ended      bool
 }
 
-// mail is a message on its way; it may be lost, late or doubled.
-type mail struct {
+// message is a message in transit. It may be lost, delayed or duplicated.
+type message struct {
 	keeper  int
 	claim   *messenger.ClaimRequest
 	settle  *messenger.SettleRequest
@@ -119,20 +120,21 @@
 	attempt *attempt
 }
 
-// world is three keepers, their network and the oracle.
-type world struct {
-	mistake  mistake
+// simulation consists of three keepers, their network and a check of the
+// invariants.
+type simulation struct {
+	fault    seededFault
 	now      time.Time
 	disks    []*disk
-	mail     []mail
+	messages []message
 	attempts []*attempt
-	// Runs counts the dispatches of each id.
-	runs     map[string]int
-	violated string
+	// runs counts the dispatches of each request id.
+	runs      map[string]int
+	violation string
 }
 
-func newWorld(m mistake) *world {
-	w := &world{mistake: m, now: time.Unix(1_000_000, 0), runs: map[string]int{}}
+func newSimulation(m seededFault) *simulation {
+	w := &simulation{fault: m, now: time.Unix(1_000_000, 0), runs: map[string]int{}}
 	for i := range 3 {
 		w.disks = append(w.disks, w.newDisk(i, 0))
 	}
@@ -143,15 +145,15 @@
 	return w
 }
 
-func (w *world) newDisk(i, n int) *disk {
-	d := &disk{core: claimer.NewCore(), rows: map[[2]string][]byte{}, named: n, born: w.now}
+func (w *simulation) newDisk(i, n int) *disk {
+	d := &disk{core: claimer.NewCore(), rows: map[[2]string][]byte{}, generation: n, createdAt: w.now}
 	d.apply(d.core.Name(fmt.Sprintf("disk-%d-%d", i, n)))
 	return d
 }
 
-func (w *world) advance(d time.Duration) { w.now = w.now.Add(d) }
+func (w *simulation) advance(d time.Duration) { w.now = w.now.Add(d) }
 
-func (w *world) allOpen() bool {
+func (w *simulation) allOpen() bool {
 	for _, d := range w.disks {
 		if !d.core.IsOpen() {
 			return false
@@ -160,106 +162,107 @@
 	return true
 }
 
-func (w *world) begin(id string) {
+func (w *simulation) begin(id string) {
 	a := &attempt{
-		id: id, count: claimer.NewAttempt(w.now, len(w.disks)), begun: w.now,
+		id: id, tally: claimer.NewAttempt(w.now, len(w.disks)), begun: w.now,
 		holder: &messenger.Holder{Router: "r", Incarnation: 1, Attempt: uint64(len(w.attempts) + 1)},
 	}
 	w.attempts = append(w.attempts, a)
 	for k := range w.disks {
-		w.mail = append(w.mail, mail{keeper: k, attempt: a, claim: &messenger.ClaimRequest{
+		w.messages = append(w.messages, message{keeper: k, attempt: a, claim: &messenger.ClaimRequest{
 			Workspace: "w", RequestId: id, Digest: []byte("d"), Holder: a.holder,
 		}})
 	}
 }
 
-func (w *world) deliver(i int, keep bool) {
-	m := w.mail[i]
+func (w *simulation) deliver(i int, keep bool) {
+	m := w.messages[i]
 	if !keep {
-		w.mail = append(w.mail[:i:i], w.mail[i+1:]...)
+		w.messages = append(w.messages[:i:i], w.messages[i+1:]...)
 	}
 	d := w.disks[m.keeper]
 	switch {
 	case m.claim != nil:
 		r := d.claim(w.now, m.claim)
-		w.mail = append(w.mail, mail{keeper: m.keeper, attempt: m.attempt, reply: r})
+		w.messages = append(w.messages, message{keeper: m.keeper, attempt: m.attempt, reply: r})
 	case m.settle != nil:
 		d.settle(w.now, m.settle)
 	case !keep:
-		w.take(m.attempt, m.keeper, m.reply)
+		w.countReply(m.attempt, m.keeper, m.reply)
 	}
 }
 
-// take counts a reply.
-func (w *world) take(a *attempt, keeper int, r *messenger.ClaimReply) {
+// countReply counts a keeper's reply.
+func (w *simulation) countReply(a *attempt, keeper int, r *messenger.ClaimReply) {
 	if a.verdict != claimer.Pending {
 		return
 	}
-	a.verdict = a.count.Step(w.now, keeper, r)
-	if w.mistake == oneVoteIsEnough && r.Verdict == messenger.ClaimVerdict_CLAIM_VERDICT_GRANTED {
+	a.verdict = a.tally.Step(w.now, keeper, r)
+	if w.fault == singleVoteGrants && r.Verdict == messenger.ClaimVerdict_CLAIM_VERDICT_GRANTED {
 		a.verdict = claimer.Granted
 	}
 	if a.verdict != claimer.Pending && a.verdict != claimer.Granted {
-		w.end(a, messenger.ClaimState_CLAIM_STATE_RELEASED)
+		w.settleAttempt(a, messenger.ClaimState_CLAIM_STATE_RELEASED)
 	}
 }
 
-func (w *world) end(a *attempt, s messenger.ClaimState) {
+func (w *simulation) settleAttempt(a *attempt, s messenger.ClaimState) {
 	a.ended = true
 	for k := range w.disks {
-		w.mail = append(w.mail, mail{keeper: k, attempt: a, settle: &messenger.SettleRequest{
+		w.messages = append(w.messages, message{keeper: k, attempt: a, settle: &messenger.SettleRequest{
 			Workspace: "w", RequestId: a.id, Holder: a.holder, State: s,
 		}})
 	}
 }
 
-// act has an attempt go on: dispatch, end, or say that it did not run.
-func (w *world) act(a *attempt, choice int) {
+// advanceAttempt makes an attempt dispatch, finish, or report that it did not
+// run.
+func (w *simulation) advanceAttempt(a *attempt, choice int) {
 	if a.ended || a.verdict != claimer.Granted {
 		return
 	}
 	switch {
-	case a.dispatched && w.mistake == releaseAfterDispatch:
-		w.end(a, messenger.ClaimState_CLAIM_STATE_RELEASED)
+	case a.dispatched && w.fault == releaseAfterDispatch:
+		w.settleAttempt(a, messenger.ClaimState_CLAIM_STATE_RELEASED)
 	case a.dispatched:
-		w.end(a, messenger.ClaimState_CLAIM_STATE_DONE)
+		w.settleAttempt(a, messenger.ClaimState_CLAIM_STATE_DONE)
 	case choice == 0:
 		if w.runs[a.id] > 0 {
-			w.violated = a.id + " was called not run, and had run"
+			w.violation = a.id + " was called not run, and had run"
 		}
-		w.end(a, messenger.ClaimState_CLAIM_STATE_RELEASED)
+		w.settleAttempt(a, messenger.ClaimState_CLAIM_STATE_RELEASED)
 	default:
 		a.dispatched = true
 		w.runs[a.id]++
 		if w.runs[a.id] > 1 {
-			w.violated = a.id + " ran twice"
+			w.violation = a.id + " ran twice"
 		}
 	}
 }
 
-// restart loses a keeper's memory, not its disk.
-func (w *world) restart(k int) {
+// restart loses a keeper's memory but not its disk.
+func (w *simulation) restart(k int) {
 	d := w.disks[k]
 	d.core = claimer.NewCore()
 	for key, value := range d.rows {
 		if err := d.core.Restore(key[0], key[1], value); err != nil {
-			w.violated = err.Error()
+			w.violation = err.Error()
 		}
 	}
 }
 
-// wipe loses a keeper's disk, once the one before has been repaired.
-func (w *world) wipe(k int) {
+// replaceDisk loses a keeper's disk, if no other disk is still being repaired.
+func (w *simulation) replaceDisk(k int) {
 	if w.allOpen() {
-		w.disks[k] = w.newDisk(k, w.disks[k].named+1)
+		w.disks[k] = w.newDisk(k, w.disks[k].generation+1)
 	}
 }
 
-// open repairs a keeper's new disk as the shell does.
-func (w *world) open(k int) {
+// open repairs a keeper's new disk as the keeper process does.
+func (w *simulation) open(k int) {
 	d := w.disks[k]
-	early := w.now.Sub(d.born) < 2*claimer.ClaimTime
-	if d.core.IsOpen() || early && w.mistake != openTooEarly && w.mistake != openWithoutCopy {
+	early := w.now.Sub(d.createdAt) < 2*claimer.ClaimTime
+	if d.core.IsOpen() || early && w.fault != openTooEarly && w.fault != openWithoutCopy {
 		return
 	}
 	var o claimer.Open
@@ -276,7 +279,7 @@
 			o.Founders = append(o.Founders, x.core.Store())
 		}
 	}
-	if w.mistake == openWithoutCopy {
+	if w.fault == openWithoutCopy {
 		o.Rows = nil
 	}
 	if len(o.Founders) == len(w.disks)-1 || old >= claimer.OpenAfter(len(w.disks)) {
@@ -284,8 +287,8 @@
 	}
 }
 
-// step does one thing that a draw of numbers chooses.
-func (w *world) step(draw func(n int) int) {
+// step performs one random action.
+func (w *simulation) step(draw func(n int) int) {
 	switch draw(20) {
 	case 0:
 		w.begin(fmt.Sprintf("id-%d", len(w.attempts)/4))
@@ -293,7 +296,7 @@
 		w.restart(draw(len(w.disks)))
 	case 2, 3:
 		if draw(2) == 0 {
-			w.wipe(draw(len(w.disks)))
+			w.replaceDisk(draw(len(w.disks)))
 		}
 	case 4, 9:
 		w.open(draw(len(w.disks)))
@@ -301,63 +304,64 @@
 		w.advance(time.Duration(draw(1000)) * time.Millisecond)
 	case 6, 7, 8:
 		if len(w.attempts) > 0 {
-			w.act(w.attempts[len(w.attempts)-1-draw(min(len(w.attempts), 4))], draw(3))
+			w.advanceAttempt(w.attempts[len(w.attempts)-1-draw(min(len(w.attempts), 4))], draw(3))
 		}
 	default:
-		if len(w.mail) > 0 {
-			w.deliver(draw(len(w.mail)), draw(8) == 0)
+		if len(w.messages) > 0 {
+			w.deliver(draw(len(w.messages)), draw(8) == 0)
 		}
 	}
-	if len(w.mail) > 30 {
-		w.mail = w.mail[5:]
+	if len(w.messages) > 30 {
+		w.messages = w.messages[5:]
 	}
 }
 
-// TestAtMostOneRun
-// Symptom: a request that may not be repeated runs twice, or is called "not
-// run" though it ran.
-// Sequence: attempts, late, lost and doubled messages, keepers that restart
-// and that lose their disks one after the other, in any order.
-// Cause it guards against: grants that don't meet in a common keeper.
+// Guards against an at-most-once request that runs twice, or that is reported
+// as "not run" although it ran. Messages are delayed, lost and duplicated,
+// and keepers restart or lose their disks one after the other, in any order.
+// The failure occurs if two grants have no keeper in common.
 func TestAtMostOneRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(none)
+		w := newSimulation(noFault)
 		for range 200 {
 			w.step(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") })
-			if w.violated != "" {
-				t.Fatal(w.violated)
+			if w.violation != "" {
+				t.Fatal(w.violation)
 			}
 		}
 	})
 }
 
-// tries is how many worlds of 300 steps a mistake must be found in, and the
-// protocol without one must pass.
-const tries = 3000
+// maxSimulations is the number of simulations of 300 steps within which a
+// seeded fault must be found, and which the protocol without faults must
+// pass.
+const maxSimulations = 3000
 
-// violation plays one world and returns what the oracle found.
-func violation(m mistake, seed int) string {
+// runSimulation runs one simulation and returns the violated invariant, or
+// "".
+func runSimulation(m seededFault, seed int) string {
 	r := rand.New(rand.NewPCG(uint64(seed), 7))
-	w := newWorld(m)
+	w := newSimulation(m)
 	for range 300 {
 		w.step(r.IntN)
 	}
-	return w.violated
+	return w.violation
 }
 
-// TestOracleBites shows that the test above finds what it is meant to find.
-func TestOracleBites(t *testing.T) {
-	worlds := tries
+// TestSimulationFindsSeededFaults shows that TestAtMostOneRun can detect
+// faults.
+func TestSimulationFindsSeededFaults(t *testing.T) {
+	worlds := maxSimulations
 	if n, err := strconv.Atoi(os.Getenv("FUZZ_CHECKS")); err == nil {
 		worlds = n
 	}
 	for seed := range worlds {
-		gomega.NewWithT(t).Expect(violation(none, seed)).To(gomega.BeEmpty(), "seed %d", seed)
+		gomega.NewWithT(t).Expect(runSimulation(noFault, seed)).To(gomega.BeEmpty(), "seed %d", seed)
 	}
-	for _, m := range []mistake{oneVoteIsEnough, openWithoutCopy, openTooEarly, releaseAfterDispatch} {
+	for _, m := range []seededFault{singleVoteGrants, openWithoutCopy, openTooEarly, releaseAfterDispatch} {
 		found := -1
-		for seed := 0; seed < tries && found < 0; seed++ {
-			if violation(m, seed) != "" {
+		for seed := 0; seed < maxSimulations && found < 0; seed++ {
+			if runSimulation(m, seed) != "" {
 				found = seed
 			}
 		}
@@ -366,16 +370,15 @@
 	}
 }
 
-// TestClaimsSurviveRestart
-// Symptom: after a restart an old claim is forgotten before its horizon.
-// Sequence: rows written at different times come back in the order of keys.
-// Cause it guards against: expiry that reads the order of the disk.
+// Guards against claims that expire too early after a restart. Rows written
+// at different times are restored in key order. The failure occurs if expiry
+// relies on the order of rows on disk.
 func TestClaimsSurviveRestart(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := newWorld(none)
+	w := newSimulation(noFault)
 	for i, id := range []string{"c", "a", "b"} {
 		w.begin(id)
-		w.deliver(len(w.mail)-3, false)
+		w.deliver(len(w.messages)-3, false)
 		w.advance(time.Hour)
 		g.Expect(w.disks[0].core.Len()).To(gomega.Equal(i + 1))
 	}
@@ -388,16 +391,15 @@
 	g.Expect(w.disks[0].core.Len()).To(gomega.Equal(2))
 }
 
-// TestNewDiskTakesOthersWord
-// Symptom: a request that is done is granted again and called "not run".
-// Sequence: two of three keepers have it done; one of them loses its disk; a
-// later attempt fails and its release reaches the new disk; the disk copies
-// the others and grants a further attempt. World 13461 of the fuzzer.
-// Cause: the copy passed over ids of which the new disk had a row, and the row
-// was no more than that release.
-func TestNewDiskTakesOthersWord(t *testing.T) {
+// Guards against a finished request that is granted again and reported as
+// "not run". Two of three keepers have it as done and one of them loses its
+// disk. A later attempt fails and its release reaches the new disk, which
+// then copies the other keepers' rows and grants another attempt. The failure
+// occurs if the copy skips ids for which the new disk has only such a
+// release. Found by simulation 13461.
+func TestNewDiskPrefersCopiedRow(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := newWorld(none)
+	w := newSimulation(noFault)
 	row := &messenger.ClaimRow{Workspace: "w", RequestId: "id", Digest: []byte("d"), Holder: &messenger.Holder{Router: "r", Attempt: 2}, State: messenger.ClaimState_CLAIM_STATE_DONE}
 	d := w.newDisk(1, 1)
 	d.settle(w.now, &messenger.SettleRequest{
--- a/claimer/core.go
+++ b/claimer/core.go
@@ -1,11 +1,12 @@
-// Package claimer decides who may run a request that may not be repeated. A
-// keeper grants each request to one attempt, durably; an attempt may dispatch
-// once the deciding keepers have granted it: a majority of all, or the one
-// that the caller's ticket names.
+// Package claimer decides which attempt may run a request that must run at
+// most once. Each keeper durably grants a request to one attempt. An attempt
+// may dispatch once the deciding keepers have granted the request: a majority
+// of all keepers, or the one named by the caller's ticket.
 //
-// A grant and the leave to dispatch are one step: a separate mark before the
-// dispatch would cost another round and still leave the time between mark and
-// dispatch in doubt. What a holder did not dispatch it releases.
+// A grant includes the permission to dispatch. A separate mark before the
+// dispatch would cost another round trip, and a crash between mark and
+// dispatch would still be ambiguous. An attempt that did not dispatch
+// releases its claim.
 package claimer
 
 import (
@@ -21,59 +22,62 @@
 
 // Buckets of a keeper's store.
 const (
-	// BucketClaims holds the rows by their Key.
+	// BucketClaims maps a Key to its row.
 	BucketClaims = "claim_rows"
 	BucketStore  = "claim_store"
-	// BucketNamed held the rows by workspace and request id; see Move.
+	// BucketLegacy maps workspace and request id to a row, as earlier
+	// versions stored it; see MigrateRow.
 	BucketNamed = "claims"
 )
 
 const (
 	keyStore = "store"
 	keyOpen  = "open"
-	// keyFounders lists the disks that were new together with this one.
+	// keyFounders lists the disks that were new at the same time as this one.
 	keyFounders = "founders"
 )
 
-// Horizon is how long a claim is remembered: a request id that comes back
+// Retention is how long a claim is kept. A request id that is used again
 // later may run again.
 const Horizon = 24 * time.Hour
 
-// MaxRows bounds a keeper's memory of claims, about 65 bytes each; beyond it
-// new claims are not granted, because an old one forgotten early could let a
-// request run twice.
+// MaxRows limits the claims that a keeper keeps in memory, at about 65 bytes
+// each. At the limit new claims are refused, because evicting an old claim
+// could let its request run twice.
 const MaxRows = 200_000
 
-// ClaimTime bounds an attempt to claim: grants that come later don't count. A
-// keeper with a new disk waits longer than this before it copies the others'
-// rows, so that no attempt can count a grant that its disk has lost.
+// ClaimTimeout limits an attempt to claim; later grants do not count. A
+// keeper with a new disk waits longer than this before it copies the other
+// keepers' rows, so that no attempt can count a grant that was lost with the
+// old disk.
 const ClaimTime = 2 * time.Second
 
-// Event is what happens to a core.
+// Event is an input to Core.
 type Event interface{ isEvent() }
 
-// Claim asks for a grant. Stored is what was last written under the request's
-// key, where the core knows the key.
+// Claim requests a grant. Stored is the value last written under the
+// request's key, if the core knows the key.
 type Claim struct {
 	Request *messenger.ClaimRequest
 	Stored  []byte
 }
 
-// Settle ends or releases a claim. Stored is as in Claim.
+// Settle completes or releases a claim. Stored is as in Claim.
 type Settle struct {
 	Request *messenger.SettleRequest
 	Stored  []byte
 }
 
-// Open lets a keeper with a new disk decide again; rows come from the others.
-// What they know it takes as lost: its own vote for it is unknown. Founders
-// are the other disks of a deployment whose disks are all new.
+// Open allows a keeper with a new disk to decide claims. Rows are copied from
+// other keepers; unfinished ones are marked as lost, because this keeper's
+// own vote on them is unknown. Founders are the other disks of a deployment
+// whose disks are all new.
 type Open struct {
 	Rows     []*messenger.ClaimRow
 	Founders []string
 }
 
-// Tick forgets what is older than the horizon.
+// Tick deletes rows older than the retention.
 type Tick struct{}
 
 func (Claim) isEvent()  {}
@@ -81,40 +85,40 @@
 func (Open) isEvent()   {}
 func (Tick) isEvent()   {}
 
-// Action is what the shell must do.
+// Action is an output of Core that the caller must carry out.
 type Action interface{ isAction() }
 
 // Write changes a durable row; a nil value deletes it. All writes of a step
-// must be synced before its reply leaves.
+// must be synced before its reply is sent.
 type Write struct {
 	Bucket string
 	Key    string
 	Value  []byte
 }
 
-// Reply answers the event.
+// Reply is the answer to the event.
 type Reply struct{ Message proto.Message }
 
 func (Write) isAction() {}
 func (Reply) isAction() {}
 
-// Core is one keeper's memory of claims: of each row a note, while the row
-// itself is on disk alone and comes back with the events that need it. It is
-// not safe for concurrent use.
+// Core is the state machine of one keeper's claims. It keeps a summary of
+// each row in memory; the row itself is on disk only and is passed in with
+// the events that need it. Core is not safe for concurrent use.
 type Core struct {
 	store string
-	// Open says that the keeper may decide claims without a ticket.
-	open     bool
-	founders []string
-	notes    map[Key]note
+	// open reports whether the keeper may decide claims without a ticket.
+	open      bool
+	founders  []string
+	summaries map[Key]rowSummary
 }
 
-// NewCore returns a core on a disk; Restore gives it what the disk holds.
+// NewCore returns an empty core. Restore loads the rows of an existing disk.
 func NewCore() *Core {
-	return &Core{notes: map[Key]note{}}
+	return &Core{summaries: map[Key]rowSummary{}}
 }
 
-// Restore takes one stored row, in any order.
+// Restore loads one stored row. The order of rows does not matter.
 func (c *Core) Restore(bucket, key string, value []byte) error {
 	if bucket == BucketStore {
 		switch key {
@@ -131,43 +135,43 @@
 	if err := proto.Unmarshal(value, row); err != nil {
 		return err
 	}
-	c.notes[keyOf(row)] = noteOf(row, value)
+	c.summaries[keyOf(row)] = summarize(row, value)
 	return nil
 }
 
-// Move takes a row that was stored by its name, and has it stored by its key.
+// MigrateRow converts a row from BucketLegacy to BucketClaims.
 func (c *Core) Move(name string, value []byte) ([]Action, error) {
 	row := &messenger.ClaimRow{}
 	if err := proto.Unmarshal(value, row); err != nil {
 		return nil, err
 	}
 	out := []Action{Write{Bucket: BucketNamed, Key: name}}
-	if !c.knowsBetter(row) {
+	if !c.hasBetterRow(row) {
 		out = append(out, c.write(row))
 	}
 	return out, nil
 }
 
-// Founded reports whether a disk was new together with this one, and so has
-// lost nothing that it voted for.
+// IsFounder reports whether the given disk was new at the same time as this
+// one, and therefore has lost no votes.
 func (c *Core) Founded(store string) bool { return slices.Contains(c.founders, store) }
 
-// Store returns the identity of the disk, "" before Name.
+// Store returns the identity of the disk, or "" before SetStore.
 func (c *Core) Store() string { return c.store }
 
 // IsOpen reports whether the keeper may decide claims without a ticket.
 func (c *Core) IsOpen() bool { return c.open }
 
 // Len returns the number of rows.
-func (c *Core) Len() int { return len(c.notes) }
+func (c *Core) Len() int { return len(c.summaries) }
 
-// Name gives a new disk its identity.
+// SetStore sets the identity of a new disk.
 func (c *Core) Name(store string) []Action {
 	c.store = store
 	return []Action{Write{Bucket: BucketStore, Key: keyStore, Value: []byte(store)}}
 }
 
-// Step handles an event.
+// Step applies an event and returns the actions that it requires.
 func (c *Core) Step(now time.Time, e Event) []Action {
 	switch e := e.(type) {
 	case Claim:
@@ -175,51 +179,51 @@
 	case Settle:
 		return c.settle(now, e)
 	case Open:
-		return c.openWith(now, e)
+		return c.startDeciding(now, e)
 	case Tick:
-		return c.tick(now)
+		return c.expire(now)
 	}
 	return nil
 }
 
-func verdict(v messenger.ClaimVerdict, row *messenger.ClaimRow) Reply {
+func verdictReply(v messenger.ClaimVerdict, row *messenger.ClaimRow) Reply {
 	return Reply{Message: &messenger.ClaimReply{Verdict: v, Row: row}}
 }
 
 func (c *Core) claim(now time.Time, e Claim) []Action {
 	r := e.Request
 	if r.Store != c.store && (r.Store != "" || !c.open) {
-		return []Action{verdict(messenger.ClaimVerdict_CLAIM_VERDICT_UNDECIDED, nil)}
+		return []Action{verdictReply(messenger.ClaimVerdict_CLAIM_VERDICT_UNDECIDED, nil)}
 	}
 	old, known, ok := c.row(KeyOf(r.Workspace, r.RequestId), e.Stored)
 	switch {
 	case !known:
 		return c.grant(now, r)
 	case !ok:
-		return []Action{verdict(messenger.ClaimVerdict_CLAIM_VERDICT_UNDECIDED, nil)}
+		return []Action{verdictReply(messenger.ClaimVerdict_CLAIM_VERDICT_UNDECIDED, nil)}
 	case old.Digest != nil && !bytes.Equal(old.Digest, r.Digest):
-		return []Action{verdict(messenger.ClaimVerdict_CLAIM_VERDICT_REUSED, old)}
+		return []Action{verdictReply(messenger.ClaimVerdict_CLAIM_VERDICT_REUSED, old)}
 	case proto.Equal(old.Holder, r.Holder) && old.State == messenger.ClaimState_CLAIM_STATE_GRANTED:
-		return []Action{verdict(messenger.ClaimVerdict_CLAIM_VERDICT_GRANTED, old)}
+		return []Action{verdictReply(messenger.ClaimVerdict_CLAIM_VERDICT_GRANTED, old)}
 	case old.State == messenger.ClaimState_CLAIM_STATE_RELEASED && !proto.Equal(old.Holder, r.Holder):
 		return c.grant(now, r)
 	}
-	return []Action{verdict(messenger.ClaimVerdict_CLAIM_VERDICT_HELD, old)}
+	return []Action{verdictReply(messenger.ClaimVerdict_CLAIM_VERDICT_HELD, old)}
 }
 
 func (c *Core) grant(now time.Time, r *messenger.ClaimRequest) []Action {
-	if len(c.notes) >= MaxRows {
-		return []Action{verdict(messenger.ClaimVerdict_CLAIM_VERDICT_UNDECIDED, nil)}
+	if len(c.summaries) >= MaxRows {
+		return []Action{verdictReply(messenger.ClaimVerdict_CLAIM_VERDICT_UNDECIDED, nil)}
 	}
 	row := &messenger.ClaimRow{
 		Workspace: r.Workspace, RequestId: r.RequestId, Digest: r.Digest, Holder: r.Holder,
 		State: messenger.ClaimState_CLAIM_STATE_GRANTED, WrittenAtMs: now.UnixMilli(), DeadlineMs: r.DeadlineMs,
 	}
-	return []Action{c.write(row), verdict(messenger.ClaimVerdict_CLAIM_VERDICT_GRANTED, row)}
+	return []Action{c.write(row), verdictReply(messenger.ClaimVerdict_CLAIM_VERDICT_GRANTED, row)}
 }
 
-// settle changes a row only for its holder: a late message of an earlier
-// attempt must not touch the claim of a later one.
+// settle changes a row only for its holder, because a late message from an
+// earlier attempt must not affect the claim of a later one.
 func (c *Core) settle(now time.Time, e Settle) []Action {
 	r, reply := e.Request, Reply{Message: &messenger.SettleReply{}}
 	row, known, ok := c.row(KeyOf(r.Workspace, r.RequestId), e.Stored)
@@ -233,10 +237,10 @@
 	return []Action{c.write(row), reply}
 }
 
-// settleUnknown notes a release that overtook its claim: the claim, when it
-// comes, must not be granted to an attempt that has given up.
+// settleUnknown stores a settlement that arrived before its claim, so that
+// the claim is not granted later to an attempt that has given up.
 func (c *Core) settleUnknown(now time.Time, r *messenger.SettleRequest, reply Reply) []Action {
-	if len(c.notes) >= MaxRows {
+	if len(c.summaries) >= MaxRows {
 		return []Action{reply}
 	}
 	return []Action{c.write(&messenger.ClaimRow{
@@ -245,10 +249,10 @@
 	}), reply}
 }
 
-func (c *Core) openWith(now time.Time, o Open) []Action {
+func (c *Core) startDeciding(now time.Time, o Open) []Action {
 	var out []Action
 	for _, r := range o.Rows {
-		if r.State == messenger.ClaimState_CLAIM_STATE_RELEASED || c.knowsBetter(r) {
+		if r.State == messenger.ClaimState_CLAIM_STATE_RELEASED || c.hasBetterRow(r) {
 			continue
 		}
 		row := proto.Clone(r).(*messenger.ClaimRow)
@@ -265,18 +269,18 @@
 		Reply{})
 }
 
-// knowsBetter reports whether the row here says more than a copied one. A
-// release does not: it came after the disk was new, from an attempt that may
-// have found the request done elsewhere.
-func (c *Core) knowsBetter(r *messenger.ClaimRow) bool {
-	old, known := c.notes[keyOf(r)]
-	return known && rank(old.state) >= rank(r.State) && old.state != messenger.ClaimState_CLAIM_STATE_RELEASED
+// hasBetterRow reports whether the existing row takes precedence over a
+// copied one. A release never does: it was received by the new disk, from an
+// attempt that may have failed because the request is done elsewhere.
+func (c *Core) hasBetterRow(r *messenger.ClaimRow) bool {
+	old, known := c.summaries[keyOf(r)]
+	return known && rankState(old.state) >= rankState(r.State) && old.state != messenger.ClaimState_CLAIM_STATE_RELEASED
 }
 
-func (c *Core) tick(now time.Time) []Action {
+func (c *Core) expire(now time.Time) []Action {
 	var old []Key
 	oldest := now.Add(-Horizon).UnixMilli()
-	for k, n := range c.notes {
+	for k, n := range c.summaries {
 		if n.writtenAtMS <= oldest {
 			old = append(old, k)
 		}
@@ -284,7 +288,7 @@
 	slices.SortFunc(old, func(a, b Key) int { return bytes.Compare(a[:], b[:]) })
 	var out []Action
 	for _, k := range old {
-		delete(c.notes, k)
+		delete(c.summaries, k)
 		out = append(out, Write{Bucket: BucketClaims, Key: k.Row()})
 	}
 	return append(out, Reply{})
@@ -293,10 +297,11 @@
 func (c *Core) write(row *messenger.ClaimRow) Write {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(row)
 	if err != nil {
-		// Marshalling fails only on invalid UTF-8, which the wire rejects.
+		// Marshalling fails only on invalid UTF-8, which protobuf rejects
+		// when the request is decoded.
 		panic(err)
 	}
 	k := keyOf(row)
-	c.notes[k] = noteOf(row, b)
+	c.summaries[k] = summarize(row, b)
 	return Write{Bucket: BucketClaims, Key: k.Row(), Value: append([]byte{}, b...)}
 }
--- a/claimer/row_test.go
+++ b/claimer/row_test.go
@@ -11,51 +11,49 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-func claimOf(id string, attempt uint64) *messenger.ClaimRequest {
+func claimRequest(id string, attempt uint64) *messenger.ClaimRequest {
 	return &messenger.ClaimRequest{
 		Workspace: "w", RequestId: id, Digest: []byte("d"), DeadlineMs: 7,
 		Holder: &messenger.Holder{Router: "r", Incarnation: 1, Attempt: attempt},
 	}
 }
 
-func endOf(id string, attempt uint64, s messenger.ClaimState) *messenger.SettleRequest {
-	c := claimOf(id, attempt)
+func settleRequest(id string, attempt uint64, s messenger.ClaimState) *messenger.SettleRequest {
+	c := claimRequest(id, attempt)
 	return &messenger.SettleRequest{Workspace: c.Workspace, RequestId: id, Holder: c.Holder, State: s, AnswerDigest: []byte("a")}
 }
 
-// TestStaleRowGrantsNothing
-// Symptom: a request is granted to a second attempt while the first may run.
-// Sequence: an attempt is granted, releases, a second one is granted; a third
-// one comes, and the shell reads the row as it was before the last grant, or
-// another request's, a damaged one or none.
-// Cause it guards against: a core that believes whatever row it is given.
-func TestStaleRowGrantsNothing(t *testing.T) {
+// Guards against a request granted to a second attempt while the first may
+// run. After a grant, a release and a second grant, a third attempt arrives
+// with the row as it was before the last grant, another request's row, a
+// damaged row or none. The failure occurs if the core trusts the row that it
+// is given.
+func TestStaleRowIsNotTrusted(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := newWorld(none)
+	w := newSimulation(noFault)
 	d := w.disks[0]
-	d.claim(w.now, claimOf("id", 1))
-	d.settle(w.now, endOf("id", 1, messenger.ClaimState_CLAIM_STATE_RELEASED))
+	d.claim(w.now, claimRequest("id", 1))
+	d.settle(w.now, settleRequest("id", 1, messenger.ClaimState_CLAIM_STATE_RELEASED))
 	released := d.stored("w", "id")
-	g.Expect(d.claim(w.now, claimOf("id", 2)).Verdict).To(gomega.Equal(messenger.ClaimVerdict_CLAIM_VERDICT_GRANTED))
-	d.claim(w.now, claimOf("other", 9))
+	g.Expect(d.claim(w.now, claimRequest("id", 2)).Verdict).To(gomega.Equal(messenger.ClaimVerdict_CLAIM_VERDICT_GRANTED))
+	d.claim(w.now, claimRequest("other", 9))
 	damaged := append([]byte{}, d.stored("w", "id")...)
 	damaged[len(damaged)-1] ^= 1
 	for _, wrong := range [][]byte{nil, {}, released, d.stored("w", "other"), damaged} {
-		e := claimer.Claim{Request: claimOf("id", 3), Stored: wrong}
+		e := claimer.Claim{Request: claimRequest("id", 3), Stored: wrong}
 		r := d.apply(d.core.Step(w.now, e)).(*messenger.ClaimReply)
 		g.Expect(r.Verdict).To(gomega.Equal(messenger.ClaimVerdict_CLAIM_VERDICT_UNDECIDED))
-		release := endOf("id", 2, messenger.ClaimState_CLAIM_STATE_RELEASED)
+		release := settleRequest("id", 2, messenger.ClaimState_CLAIM_STATE_RELEASED)
 		g.Expect(d.core.Step(w.now, claimer.Settle{Request: release, Stored: wrong})).To(gomega.HaveLen(1), "nothing is written")
 		g.Expect(d.core.Matches(claimer.KeyOf("w", "id"), wrong)).To(gomega.BeFalse())
 	}
-	r := d.claim(w.now, claimOf("id", 3))
+	r := d.claim(w.now, claimRequest("id", 3))
 	g.Expect(r.Verdict).To(gomega.Equal(messenger.ClaimVerdict_CLAIM_VERDICT_HELD))
 	g.Expect(r.Row.Holder.Attempt).To(gomega.Equal(uint64(2)))
 }
 
-// TestKeyTellsRequestsApart
-// Symptom: a request is refused as another one's.
-// Cause it guards against: keys of names put together without their lengths.
+// Guards against a request mistaken for another one because its key joins
+// names without their lengths.
 func TestKeyTellsRequestsApart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	seen := map[claimer.Key]bool{}
@@ -66,17 +64,16 @@
 	g.Expect(claimer.KeyOf("a", "bc")).To(gomega.Equal(claimer.KeyOf("a", "bc")))
 }
 
-// TestNamedRowsAreMoved
-// Symptom: after an upgrade a request that ran is granted again.
-// Sequence: a disk holds rows by name; the keeper starts, moves them, starts
-// again, and the request comes back; a day later the row is forgotten.
-// Cause it guards against: rows that only an older version finds.
-func TestNamedRowsAreMoved(t *testing.T) {
+// Guards against a request that runs again after an upgrade. A disk holds
+// rows by name; the keeper starts, migrates them and restarts, and the
+// request is repeated. A day later the row expires. The failure occurs if
+// only an older version finds the rows.
+func TestLegacyRowsAreMigrated(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := newWorld(none)
+	w := newSimulation(noFault)
 	d := w.disks[0]
 	row := &messenger.ClaimRow{
-		Workspace: "w", RequestId: "id", Digest: []byte("d"), Holder: claimOf("id", 1).Holder,
+		Workspace: "w", RequestId: "id", Digest: []byte("d"), Holder: claimRequest("id", 1).Holder,
 		State: messenger.ClaimState_CLAIM_STATE_DONE, AnswerDigest: []byte("a"), WrittenAtMs: w.now.UnixMilli(),
 	}
 	value, err := proto.Marshal(row)
@@ -94,7 +91,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(actions).To(gomega.HaveLen(1), "the row that says more stays")
 	row.State = messenger.ClaimState_CLAIM_STATE_DONE
-	r := d.claim(w.now, claimOf("id", 2))
+	r := d.claim(w.now, claimRequest("id", 2))
 	g.Expect(r.Verdict).To(gomega.Equal(messenger.ClaimVerdict_CLAIM_VERDICT_HELD))
 	g.Expect(proto.Equal(r.Row, row)).To(gomega.BeTrue())
 	d.apply(d.core.Step(w.now.Add(claimer.Horizon-time.Millisecond), claimer.Tick{}))
