--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -21,8 +21,10 @@
 
 var zones = []string{"osu-hall", "tema-hall", "legon-hall"}
 
-// round lets every zone plan once on the same shares and returns what moved.
-func round(p placer.Placer, shares map[string]rattanhoist.Tokens, demand map[string]float64, cut string) rattanhoist.Tokens {
+// planRound lets every zone plan once with the same shares, applies the moves to
+// shares and returns the number of rights moved. The zone named cut is
+// unreachable.
+func planRound(p placer.Placer, shares map[string]rattanhoist.Tokens, demand map[string]float64, cut string) rattanhoist.Tokens {
 	var all []placer.Move
 	from := map[string]rattanhoist.Tokens{}
 	for _, z := range zones {
@@ -50,18 +52,19 @@
 	return moved
 }
 
-// Symptom: rights travel between zones for ever and are missing on the way.
-// Sequence: demand is steady but for noise, every zone plans again and again.
-// Cause: two givers fill one deficit, or a plan that has no dead band.
+// Guards against rights that are transferred back and forth without end and are
+// unavailable while in flight. With steady but noisy demand and repeated
+// planning, this happens if two zones fill the same deficit or if a plan has no
+// dead band.
 var _ = ginkgo.It("settles under steady demand", func() {
 	for _, name := range placer.Names() {
 		p, _ := placer.New(name)
 		shares := map[string]rattanhoist.Tokens{"osu-hall": 90000, "tema-hall": 9000, "legon-hall": 0}
 		demand := map[string]float64{"osu-hall": 10, "tema-hall": 60, "legon-hall": 30}
-		gomega.Expect(round(p, shares, demand, "")).To(gomega.BeNumerically(">", 0), name)
+		gomega.Expect(planRound(p, shares, demand, "")).To(gomega.BeNumerically(">", 0), name)
 		for i := range 20 {
 			demand["osu-hall"] = 10 + float64(i%2)
-			gomega.Expect(round(p, shares, demand, "")).To(gomega.BeZero(), name)
+			gomega.Expect(planRound(p, shares, demand, "")).To(gomega.BeZero(), name)
 		}
 	}
 })
@@ -70,21 +73,21 @@
 	p, known := placer.New("demand")
 	gomega.Expect(known).To(gomega.BeTrue())
 	shares := map[string]rattanhoist.Tokens{"osu-hall": 100000, "tema-hall": 0, "legon-hall": 0}
-	round(p, shares, map[string]float64{"osu-hall": 10, "tema-hall": 70, "legon-hall": 20}, "")
+	planRound(p, shares, map[string]float64{"osu-hall": 10, "tema-hall": 70, "legon-hall": 20}, "")
 	gomega.Expect(shares).To(gomega.Equal(map[string]rattanhoist.Tokens{"osu-hall": 20500, "tema-hall": 53500, "legon-hall": 26000}))
 	other, known := placer.New("none")
 	gomega.Expect(known).To(gomega.BeFalse())
 	gomega.Expect(other).To(gomega.Equal(p))
 })
 
-// Symptom: rights are in transfer for the whole of a cut; nobody spends them.
-// Sequence: a zone is cut off, its share looks small, the others give to it.
-// Cause: a plan that trusts an old share.
+// Guards against rights that stay in flight during a whole network partition,
+// where no zone can spend them. This happens if a plan trusts an old share: the
+// unreachable zone seems to hold few rights, so the others transfer some to it.
 var _ = ginkgo.It("gives nothing to a zone that is cut off", func() {
 	for _, name := range placer.Names() {
 		p, _ := placer.New(name)
 		shares := map[string]rattanhoist.Tokens{"osu-hall": 90000, "tema-hall": 0, "legon-hall": 0}
-		round(p, shares, map[string]float64{"legon-hall": 100}, "legon-hall")
+		planRound(p, shares, map[string]float64{"legon-hall": 100}, "legon-hall")
 		gomega.Expect(shares["legon-hall"]).To(gomega.BeZero(), name)
 	}
 })
@@ -112,10 +115,9 @@
 	})
 }
 
-// Symptom: rights follow the last seconds of traffic and are missing where an
-// hour's traffic needs them.
-// Sequence: traffic comes in bursts; the zone is cut off between two of them.
-// Cause: placement by momentary demand.
+// Guards against placement by momentary demand: with bursty traffic, a zone that
+// becomes unreachable between two bursts would lack the rights for the next
+// hour of its traffic.
 var _ = ginkgo.It("averages demand over bursts", func() {
 	var m placer.Meter
 	now := time.Unix(0, 0)
