--- a/storer/note_test.go
+++ b/storer/atomic_file_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestNoteIsReplacedAsAWhole(t *testing.T) {
+func TestFileIsReplacedWhole(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := NewNote(t.TempDir(), "note")
 	b, err := n.Read()
@@ -21,16 +21,17 @@
 	}
 }
 
-// Symptom: a keeper believes what was never written. Sequence: power is lost while a
-// note is written, and part of it is missing. Cause: a file taken as it is.
-func TestTornNoteIsNotRead(t *testing.T) {
+// Guards against a keeper that uses a partly written file after a loss of power
+// during a write. This happens if the file is read without checking its
+// checksum.
+func TestTornFileIsRejected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := NewNote(t.TempDir(), "note")
 	g.Expect(n.Write([]byte("some endpoints"))).To(gomega.Succeed())
-	whole, err := os.ReadFile(n.file)
+	whole, err := os.ReadFile(n.path)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	for cut := range whole {
-		g.Expect(os.WriteFile(n.file, whole[:cut], fileMode)).To(gomega.Succeed())
+		g.Expect(os.WriteFile(n.path, whole[:cut], fileMode)).To(gomega.Succeed())
 		_, err := n.Read()
 		g.Expect(err).To(gomega.MatchError(ErrTorn))
 	}
--- a/storer/power_test.go
+++ b/storer/power_test.go
@@ -15,26 +15,28 @@
 )
 
 const (
-	// sectorBytes is what a disk writes whole or not at all.
+	// sectorBytes is the size of the unit that a disk writes atomically.
 	sectorBytes = 512
-	// metaPages are the first pages of the file, written after the rest was
-	// synced; they tell which rows are in force.
+	// metaPages is the number of bbolt meta pages at the start of the file. They
+	// are written after the other pages were synced and select the current
+	// version of the rows.
 	metaPages = 2
-	// lossSeeds is how often each test loses power; 40 of them find a store
-	// without syncs in the first one or two.
-	lossSeeds = 40
+	// powerLossSeeds is the number of seeds that each test runs. Of 40 seeds, the
+	// first one or two detect a store without syncs.
+	powerLossSeeds = 40
 )
 
-// disk is a store's folder whose power can be lost.
-type disk struct {
+// powerLossDisk is a store's directory for which a loss of power is simulated.
+type powerLossDisk struct {
 	t    *testing.T
 	dir  string
 	file *os.File
 }
 
-func (d *disk) open() (*Store, func() error) {
+// open opens the store and keeps its file for withoutSync.
+func (d *powerLossDisk) open() (*Store, func() error) {
 	d.t.Helper()
-	s, closeStore, err := open(d.dir, files{syncFolder: syncFolder, openFile: func(name string, flag int, mode os.FileMode) (*os.File, error) {
+	s, closeStore, err := open(d.dir, fileOps{syncDir: syncDir, openFile: func(name string, flag int, mode os.FileMode) (*os.File, error) {
 		f, err := os.OpenFile(name, flag, mode)
 		d.file = f
 		return f, err
@@ -45,9 +47,9 @@
 	return s, closeStore
 }
 
-// withoutSync calls f while the store's descriptor takes writes and refuses to
-// sync them: that of the null device does both.
-func (d *disk) withoutSync(f func()) {
+// withoutSync calls f while the store's file descriptor refers to the null
+// device, which accepts writes and fails to sync them.
+func (d *powerLossDisk) withoutSync(f func()) {
 	d.t.Helper()
 	fd := int(d.file.Fd())
 	kept, err := syscall.Dup(fd)
@@ -71,7 +73,8 @@
 	}
 }
 
-func (d *disk) image() []byte {
+// image returns the current content of the store's file.
+func (d *powerLossDisk) image() []byte {
 	d.t.Helper()
 	b, err := os.ReadFile(filepath.Join(d.dir, fileName))
 	if err != nil {
@@ -80,11 +83,11 @@
 	return b
 }
 
-// syncs reports whether the store waits for the disk: a store that does can't
-// acknowledge while syncs fail.
-func (d *disk) syncs() bool {
+// syncs reports whether the store waits for the disk to sync. Such a store can't
+// acknowledge a change while syncs fail.
+func (d *powerLossDisk) syncs() bool {
 	d.t.Helper()
-	probe := &disk{t: d.t, dir: filepath.Join(d.t.TempDir(), "probe")}
+	probe := &powerLossDisk{t: d.t, dir: filepath.Join(d.t.TempDir(), "probe")}
 	s, closeStore := probe.open()
 	defer func() { _ = closeStore() }()
 	if err := s.Apply([]Row{{Bucket: "log", Key: "1", Value: []byte("a")}}); err != nil {
@@ -95,12 +98,12 @@
 	return err != nil
 }
 
-// Symptom: an acknowledged change is gone after a loss of power. Sequence: the
-// disk takes the writes and fails the sync. Cause: a store that does not sync,
-// or drops the error of it.
-func TestNothingIsAcknowledgedWithoutASync(t *testing.T) {
+// Guards against an acknowledged change that is lost with the power. This happens
+// if the disk accepts the writes but fails to sync them, and the store does not
+// sync or ignores the error.
+func TestWritesFailWithoutSync(t *testing.T) {
 	g := gomega.NewWithT(t)
-	d := &disk{t: t, dir: t.TempDir()}
+	d := &powerLossDisk{t: t, dir: t.TempDir()}
 	s, closeStore := d.open()
 	defer func() { _ = closeStore() }()
 	row := func(v string) []Row { return []Row{{Bucket: "log", Key: "1", Value: []byte(v)}} }
@@ -114,10 +117,11 @@
 	g.Expect(string(v)).To(gomega.Equal("first"))
 }
 
-// lose returns what a disk may hold after a loss of power, by a seed. Written
-// but not synced sectors are gone or kept each by itself, so pages are torn.
-// With syncs the pages come before the first sync and the meta pages after it.
-func lose(synced, written []byte, syncs bool, r *rand.Rand) []byte {
+// imageAfterPowerLoss returns a random possible content of the disk after a loss
+// of power. Each sector that was written but not synced is lost or kept
+// independently, so pages can be torn. If the store syncs, it writes the data
+// pages before the first sync and the meta pages after it.
+func imageAfterPowerLoss(synced, written []byte, syncs bool, r *rand.Rand) []byte {
 	out := bytes.Clone(synced)
 	if len(written) > len(out) && r.IntN(2) == 0 {
 		out = append(out, make([]byte, len(written)-len(out))...)
@@ -136,14 +140,15 @@
 		}
 	}
 	if syncs && metasReached {
-		// The pages were synced, and with them the length of the file.
+		// The data pages were synced, and with them the length of the file.
 		out = append(out, written[min(len(out), len(written)):]...)
 	}
 	return out
 }
 
-// contents returns all rows, or an error of a damaged file.
-func contents(dir string) (out map[string]string, err error) {
+// readRows returns all rows of the store in dir, or an error if its file is
+// damaged.
+func readRows(dir string) (out map[string]string, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("damaged: %v", p)
@@ -162,18 +167,19 @@
 	return out, err
 }
 
-// Symptom: a keeper comes back from a loss of power without what it
-// acknowledged, with half of a change, or with a file that it can't open.
-// Sequence: changes of several rows, power lost while one is being written or
-// right after it. Cause: writes that are acknowledged before they are synced,
-// or a page that is overwritten while older rows need it.
-func TestAcknowledgedRowsOutliveALossOfPower(t *testing.T) {
-	for seed := range uint64(lossSeeds) {
+// Guards against a keeper that, after a loss of power, lacks acknowledged rows,
+// has half of a change, or can't open its file. Power is lost during or right
+// after a change of several rows. The fault occurs if writes are acknowledged
+// before they are synced, or if a page is overwritten while the previous version
+// of the rows still needs it.
+func TestAcknowledgedRowsSurvivePowerLoss(t *testing.T) {
+	for seed := range uint64(powerLossSeeds) {
 		r := rand.New(rand.NewPCG(seed, 7))
-		d := &disk{t: t, dir: t.TempDir()}
+		d := &powerLossDisk{t: t, dir: t.TempDir()}
 		syncs := d.syncs()
 		s, closeStore := d.open()
-		// Founded is the state that every loss can go back to at most.
+		// This row is durable before the first loss of power, so it must survive
+		// every one.
 		if err := s.Apply([]Row{{Bucket: "log", Key: "founded", Value: []byte("yes")}}); err != nil {
 			t.Fatal(err)
 		}
@@ -185,12 +191,12 @@
 				t.Fatal(err)
 			}
 			written := d.image()
-			during := lose(synced, written, syncs, r)
+			during := imageAfterPowerLoss(synced, written, syncs, r)
 			checkAfterLoss(t, seed, during, before, acknowledged)
 			if syncs {
 				synced = written
 			}
-			checkAfterLoss(t, seed, lose(synced, written, syncs, r), acknowledged)
+			checkAfterLoss(t, seed, imageAfterPowerLoss(synced, written, syncs, r), acknowledged)
 		}
 		if err := closeStore(); err != nil {
 			t.Fatal(err)
@@ -198,7 +204,8 @@
 	}
 }
 
-// randomRows changes up to eight rows, some of several pages, and rows.
+// randomRows returns a change of up to eight rows, some of them larger than a
+// page, and applies it to rows.
 func randomRows(r *rand.Rand, rows map[string]string) []Row {
 	var out []Row
 	for range 1 + r.IntN(8) {
@@ -215,14 +222,15 @@
 	return out
 }
 
-// checkAfterLoss starts from an image and wants one of the allowed contents.
+// checkAfterLoss opens a store from a file image and fails the test unless its
+// rows equal one of the allowed versions.
 func checkAfterLoss(t *testing.T, seed uint64, image []byte, allowed ...map[string]string) {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, fileName), image, fileMode); err != nil {
 		t.Fatal(err)
 	}
-	got, err := contents(dir)
+	got, err := readRows(dir)
 	if err != nil {
 		t.Fatalf("seed %d: the store doesn't open after a loss of power: %v", seed, err)
 	}
--- a/storer/storer.go
+++ b/storer/storer.go
@@ -1,5 +1,5 @@
-// Package storer keeps a keeper's durable rows in one file under its data
-// folder. A write is acknowledged only after it is synced.
+// Package storer stores a keeper's rows durably in one file in its data
+// directory. A write is acknowledged only after it is synced.
 package storer
 
 import (
@@ -12,8 +12,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// ErrStore says that the disk failed; nothing that depends on the write may
-// be answered.
+// ErrStore reports a disk failure. A caller must not send any answer that
+// depends on the failed write.
 var ErrStore = merry.Sentinel("durable store failed")
 
 const (
@@ -23,56 +23,57 @@
 	lockTimeout = 5 * time.Second
 )
 
-// Row is one change of a bucket; a nil value deletes the key.
+// Row is a change of one key in a bucket; a nil value deletes the key.
 type Row struct {
 	Bucket string
 	Key    string
 	Value  []byte
 }
 
-// Store is an embedded store of buckets of rows.
+// Store is an embedded key-value store whose rows are grouped into buckets.
 type Store struct {
 	db *bbolt.DB
 }
 
-// Open opens the store under dir, creating it where missing. The returned
+// Open opens the store in dir and creates it if it does not exist. The returned
 // function closes it.
 func Open(dir string) (*Store, func() error, error) {
-	return open(dir, files{syncFolder: syncFolder, openFile: os.OpenFile})
+	return open(dir, fileOps{syncDir: syncDir, openFile: os.OpenFile})
 }
 
-// files is what a store asks of the operating system beyond reads and writes;
-// tests that lose power stand in here.
-type files struct {
-	syncFolder func(folder string) error
-	openFile   func(name string, flag int, mode os.FileMode) (*os.File, error)
+// fileOps holds the file operations that tests replace to simulate a loss of
+// power.
+type fileOps struct {
+	syncDir  func(dir string) error
+	openFile func(name string, flag int, mode os.FileMode) (*os.File, error)
 }
 
-func open(dir string, f files) (*Store, func() error, error) {
-	if err := makeFolder(dir, f.syncFolder); err != nil {
+// open is Open with replaceable file operations.
+func open(dir string, f fileOps) (*Store, func() error, error) {
+	if err := createDirDurably(dir, f.syncDir); err != nil {
 		return nil, nil, merry.Errorf("%w: %s", ErrStore, err.Error())
 	}
 	db, err := bbolt.Open(filepath.Join(dir, fileName), fileMode, &bbolt.Options{
 		Timeout: lockTimeout,
-		// The list of free pages is rebuilt at the start instead of written
-		// with every commit: it grows with the file.
+		// The list of free pages is rebuilt when the file is opened. Writing it
+		// with every commit would cost more as the file grows.
 		NoFreelistSync: true, FreelistType: bbolt.FreelistMapType,
 		OpenFile: f.openFile,
 	})
 	if err != nil {
 		return nil, nil, merry.Errorf("%w: %s", ErrStore, err.Error())
 	}
-	// A file that is synced can still be missing after a power cut, with all
-	// its rows, if the folder that names it was not synced: the keeper would
-	// come back with an empty disk. So the name is durable before any row is.
-	if err := f.syncFolder(dir); err != nil {
+	// A synced file can still be missing after a loss of power if its directory
+	// was not synced; the keeper would then start with an empty disk. So the
+	// directory is synced before any row is written.
+	if err := f.syncDir(dir); err != nil {
 		_ = db.Close()
 		return nil, nil, merry.Errorf("%w: %s", ErrStore, err.Error())
 	}
 	return &Store{db: db}, db.Close, nil
 }
 
-// Apply writes the rows in one transaction and returns after the sync.
+// Apply writes the rows in one transaction and returns after they are synced.
 func (s *Store) Apply(rows []Row) error {
 	if len(rows) == 0 {
 		return nil
@@ -91,6 +92,7 @@
 	return nil
 }
 
+// applyRow writes or deletes one row and creates its bucket if needed.
 func applyRow(tx *bbolt.Tx, r Row) error {
 	b, err := tx.CreateBucketIfNotExists([]byte(r.Bucket))
 	if err != nil {
@@ -102,7 +104,7 @@
 	return b.Put([]byte(r.Key), r.Value)
 }
 
-// Clear removes all rows of the buckets.
+// Clear deletes all rows of the buckets in one transaction.
 func (s *Store) Clear(buckets ...string) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		for _, b := range buckets {
@@ -121,13 +123,13 @@
 	return nil
 }
 
-// Each calls f for every row of a bucket in key order. The value is valid
-// only during the call.
+// Each calls f for every row of a bucket in key order. The value is valid only
+// during the call of f.
 func (s *Store) Each(bucket string, f func(key string, value []byte) error) error {
 	return s.View(func(v View) error { return v.Each(bucket, "", f) })
 }
 
-// Get returns a copy of the value of a key, or nil where there is none.
+// Get returns a copy of the value of a key, or nil if the key does not exist.
 func (s *Store) Get(bucket, key string) ([]byte, error) {
 	var out []byte
 	err := s.View(func(v View) error {
@@ -139,16 +141,17 @@
 	return out, err
 }
 
-// View is one consistent state of the store. It is valid only in the call
-// that it is given to.
+// View is a consistent, read-only snapshot of the store. It is valid only during
+// the call of the function that receives it.
 type View struct{ tx *bbolt.Tx }
 
-// View calls f with the latest state; writers go on meanwhile.
+// View calls f with a snapshot of the latest state. It does not block writers.
 func (s *Store) View(f func(View) error) error {
 	return s.db.View(func(tx *bbolt.Tx) error { return f(View{tx: tx}) })
 }
 
-// Get returns the value of a key, or nil where there is none.
+// Get returns the value of a key, or nil if the key does not exist. The value is
+// valid as long as the view.
 func (v View) Get(bucket, key string) []byte {
 	b := v.tx.Bucket([]byte(bucket))
 	if b == nil {
@@ -172,7 +175,7 @@
 	return nil
 }
 
-// From calls f for every row from a key on, in key order.
+// EachFrom calls f for every row whose key is not less than first, in key order.
 func (v View) From(bucket, first string, f func(key string, value []byte) error) error {
 	b := v.tx.Bucket([]byte(bucket))
 	if b == nil {
@@ -187,8 +190,7 @@
 	return nil
 }
 
-// Used returns the bytes of the file that hold rows; the rest is free for new
-// ones.
+// UsedBytes returns the size of the file without its free pages, in bytes.
 func (s *Store) Used() int64 {
 	var size int64
 	_ = s.View(func(v View) error {
