--- a/budgeter/action.go
+++ b/budgeter/action.go
@@ -6,19 +6,19 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Ticket ties a reply to the event that asked for it.
+// CorrelationID links a Reply to the event that requested it.
 type Ticket uint64
 
-// Event is something that happens to a vault.
+// Event is an input of a vault; see Vault.Step.
 type Event interface{ isEvent() }
 
-// Mint asks for a top-up; the identity counts once.
+// Mint creates rights for a top-up. A top-up with a known ID creates none.
 type Mint struct {
 	Ticket  Ticket
 	Request *messenger.TopUpRequest
 }
 
-// Lease asks for rights for a router.
+// Lease requests rights for a router.
 type Lease struct {
 	Ticket  Ticket
 	Request *messenger.LeaseRequest
@@ -30,25 +30,26 @@
 	Request *messenger.ChargeRequest
 }
 
-// Return gives leased rights back.
+// ReturnRights returns leased rights of a router to the vault.
 type Return struct {
 	Ticket  Ticket
 	Request *messenger.ReturnRequest
 }
 
-// Ask asks this zone to transfer rights to another.
+// RequestTransfer requests a transfer of rights from this zone to another.
 type Ask struct {
 	Ticket  Ticket
 	Request *messenger.AskRequest
 }
 
-// Receive takes transfers from another zone, each once.
+// ReceiveTransfers credits transfers from another zone, each of them once.
 type Receive struct {
 	Ticket  Ticket
 	Request *messenger.GiveRequest
 }
 
-// Confirm ends transfers that the other zone has recorded.
+// ConfirmTransfers removes pending transfers that the receiving zone has
+// recorded.
 type Confirm struct{ TransferIDs []string }
 
 // Register announces an incarnation of a router and fences the earlier ones.
@@ -57,31 +58,32 @@
 	Request *messenger.RegisterRequest
 }
 
-// Fence ends the incarnations of a router up to one. What they hold stays
-// leased until Release: the witness may have charges of theirs.
+// Fence fences the incarnations of a router up to a given one. Their rights
+// stay leased until Release, because the witness may have stored charges of
+// theirs.
 type Fence struct {
 	Ticket  Ticket
 	Request *messenger.FenceRequest
 }
 
-// Release returns the remainder of fenced incarnations, once the witness has
-// fenced them too.
+// Release returns the unspent rights of fenced incarnations. It must follow the
+// fencing of the same incarnations by the witness.
 type Release struct {
 	Ticket Ticket
 	Router string
-	// Incarnation is the one up to which the witness has fenced.
+	// Incarnation is the last one that the witness has fenced.
 	Incarnation uint64
 	Witness     *messenger.FenceWitnessReply
 }
 
-// Witness stores charges of another zone's router.
+// Witness stores charges of a router of another zone.
 type Witness struct {
 	Ticket  Ticket
 	Request *messenger.ChargeRequest
 }
 
-// FenceWitness has the vault witness no more for incarnations of another
-// zone's router.
+// FenceWitness makes the vault refuse to store further charges of incarnations
+// of another zone's router.
 type FenceWitness struct {
 	Ticket  Ticket
 	Request *messenger.FenceWitnessRequest
@@ -93,23 +95,27 @@
 	Request *messenger.HandOverRequest
 }
 
-// HandedOver drops witnessed charges that their own zone has billed.
+// DropWitnessed deletes stored charges that their own zone has billed.
 type HandedOver struct{ Charges []*messenger.Charge }
 
-// Mark stores another keeper's solo mark, or asks for it.
+// RecordSoloMark stores the solo mark of another keeper and replies with the
+// stored mark. Without a commit number it only queries the mark. See
+// Vault.SoloMark.
 type Mark struct {
 	Ticket  Ticket
 	Request *messenger.MarkRequest
 }
 
-// Begin gives an empty vault its incarnation. With a copy, the rows of a lost
-// disk have been restored, and everything unspent is frozen until Prove.
+// StartIncarnation gives an empty vault its incarnation. If Copy is set, the
+// rows were restored from a copy after the loss of a disk, and all unspent
+// rights are frozen until VerifyRestore succeeds.
 type Begin struct {
 	Incarnation uint64
 	Copy        *messenger.CopyState
 }
 
-// Prove brings what routers and keepers say about the time before a restore.
+// VerifyRestore passes on what routers and keepers report about the time before
+// a restore.
 type Prove struct {
 	Ticket Ticket
 	// Routers are the names of the zone's routers in the settings.
@@ -120,23 +126,26 @@
 	CopyComplete bool
 }
 
-// ClaimBills records claims of bills, the first for each request.
+// ClaimBills records which zone claims the bill of a request. The first claim
+// for a request wins.
 type ClaimBills struct {
 	Ticket  Ticket
 	Request *messenger.ClaimBillsRequest
 }
 
-// BillsClaimed ends rows of Unclaimed. Counting maps their keys to the zones
-// whose bills count, for each of their requests in order; others are reversed.
+// SettleClaims removes rows of BucketUnclaimed. Counting maps their keys to the
+// zones whose bills count, one for each request of the row in order. The other
+// bills are reversed.
 type BillsClaimed struct{ Counting map[string][]string }
 
 func (ClaimBills) isEvent()   {}
 func (BillsClaimed) isEvent() {}
 
-// Paired makes a commit of its own, so that a copy which is whole again is
-// later than every solo mark.
+// MirrorPaired makes a commit of its own, so that a copy that is complete again
+// is later than every solo mark.
 type Paired struct {
-	// MirrorIncarnation is that of the mirror's own vault, 0 where unknown.
+	// MirrorIncarnation is the incarnation of the mirror's own vault, or 0 if it
+	// is unknown.
 	MirrorIncarnation uint64
 }
 
@@ -159,18 +168,19 @@
 func (Begin) isEvent()        {}
 func (Prove) isEvent()        {}
 
-// Action is something that the shell does for a vault. The shell carries out
-// replies only after every row of the same step is synced.
+// Action is an output of a vault that its caller (the shell) executes. The
+// shell sends replies only after every row of the same step is synced.
 type Action interface{ isAction() }
 
-// Write stores a row; a nil Value deletes it. A step writes a row once.
+// Write stores a row; a nil Value deletes it. A step writes each row at most
+// once.
 type Write struct {
 	Bucket string
 	Key    string
 	Value  []byte
 }
 
-// Reply answers an event; either Message or Err is set.
+// Reply is the answer to an event; either Message or Err is set.
 type Reply struct {
 	Ticket  Ticket
 	Message proto.Message
--- a/budgeter/bill_claims.go
+++ b/budgeter/bill_claims.go
@@ -13,102 +13,111 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// hashBytes is enough that two requests never share a claim by chance.
+// hashBytes is the length of a request hash. 16 bytes make a collision of two
+// requests practically impossible.
 const hashBytes = 16
 
-// timeDigits is the length of the time in a key of BucketUnclaimed.
-const timeDigits = 16
+// keyTimeDigits is the number of hexadecimal digits of the time in a key of
+// BucketUnclaimed.
+const keyTimeDigits = 16
 
-// RequestHash is the name of a request in claims.
+// RequestHash returns the hash that identifies a request in claims.
 func RequestHash(requestKey string) []byte {
 	sum := sha256.Sum256([]byte(requestKey))
 	return sum[:hashBytes]
 }
 
-// storeUnclaimed writes one row for the bills of a step. A caller that comes
-// back in another zone, or on the other side of a cut, is billed there too;
-// the claims find such bills afterwards, so that no request waits for them.
+// storeUnclaimed writes one row that lists the bills of a step. A caller that
+// retries in another zone, or on the other side of a network partition, is
+// billed there too. The claims find such duplicate bills later, so that no
+// request has to wait for them.
 func (v *Vault) storeUnclaimed() {
-	if len(v.billed) == 0 {
+	if len(v.billedKeys) == 0 {
 		return
 	}
-	v.put(BucketUnclaimed, unclaimedKey(v.billedMs, v.billed[0]), &messenger.UnclaimedRow{RequestKeys: v.billed})
-	v.billed = nil
+	v.storeOnDisk(BucketUnclaimed, unclaimedKey(v.oldestBilledMs, v.billedKeys[0]), &messenger.UnclaimedRow{RequestKeys: v.billedKeys})
+	v.billedKeys = nil
 }
 
-// unclaimedKey sorts by the time of the oldest bill, so that the first row of
-// the bucket says how old a bill without a settled claim can be.
+// unclaimedKey returns a key that sorts by the time of the oldest bill. The
+// first row of the bucket therefore gives the age of the oldest bill without a
+// settled claim.
 func unclaimedKey(oldestMs int64, request string) string {
 	return fmt.Sprintf("%016x/%s", max(oldestMs, 0), request)
 }
 
-// UnsettledMs returns the time of the oldest bill that the row of a key in
-// BucketUnclaimed can have, in Unix milliseconds; 0 where the key does not say.
+// UnsettledMs returns the time of the oldest bill that a row of BucketUnclaimed
+// can list, in Unix milliseconds, or 0 if its key contains no valid time.
 func UnsettledMs(key string) int64 {
 	digits, _, _ := strings.Cut(key, "/")
 	n, err := strconv.ParseInt(digits, 16, 64)
-	if err != nil || len(digits) != timeDigits {
+	if err != nil || len(digits) != keyTimeDigits {
 		return 0
 	}
 	return n
 }
 
+// claimBills records the zone's claims and returns the zone that holds the
+// claim of each request.
 func (v *Vault) claimBills(r *messenger.ClaimBillsRequest) (proto.Message, error) {
-	// A message that was under way for long could win a claim whose first
-	// winner is pruned.
-	if r.SettledBeforeMs < v.settled[r.Zone] {
+	// A message delayed for a long time could otherwise win a claim whose first
+	// winner was pruned.
+	if r.SettledBeforeMs < v.settledBeforeMs[r.Zone] {
 		return nil, ErrOutdated
 	}
-	v.settled[r.Zone] = r.SettledBeforeMs
+	v.settledBeforeMs[r.Zone] = r.SettledBeforeMs
 	out := &messenger.ClaimBillsReply{}
 	for _, h := range r.RequestHashes {
 		row := &messenger.ClaimedRow{}
 		key := hex.EncodeToString(h)
-		known, err := v.find(BucketClaimed, key, row)
+		known, err := v.lookup(BucketClaimed, key, row)
 		if err != nil {
 			return nil, err
 		}
 		if !known {
 			row.Zone, row.ClaimedAtMs = r.Zone, v.nowMs
-			v.put(BucketClaimed, key, row)
+			v.storeOnDisk(BucketClaimed, key, row)
 		}
 		out.Zones = append(out.Zones, row.Zone)
 	}
 	return out, nil
 }
 
-func (v *Vault) billsClaimed(e BillsClaimed) {
-	for key, counting := range inOrder(e.Counting) {
-		v.rowClaimed(key, counting)
+// settleClaims settles the claims of several rows of BucketUnclaimed.
+func (v *Vault) settleClaims(e BillsClaimed) {
+	for key, counting := range sortedByKey(e.Counting) {
+		v.settleUnclaimedRow(key, counting)
 	}
 }
 
-func (v *Vault) rowClaimed(name string, counting []string) {
+// settleUnclaimedRow reverses the row's bills that are claimed by other zones,
+// and deletes the row.
+func (v *Vault) settleUnclaimedRow(name string, counting []string) {
 	row := &messenger.UnclaimedRow{}
-	known, err := v.find(BucketUnclaimed, name, row)
+	known, err := v.lookup(BucketUnclaimed, name, row)
 	if err != nil || !known || len(counting) != len(row.RequestKeys) {
 		return
 	}
 	for i, key := range row.RequestKeys {
-		if counting[i] != v.zone && v.reverse(key, counting[i]) != nil {
+		if counting[i] != v.zone && v.reverseCharge(key, counting[i]) != nil {
 			return
 		}
 	}
-	v.drop(BucketUnclaimed, name)
+	v.deleteOnDisk(BucketUnclaimed, name)
 }
 
-// reverse gives the tokens of a bill back to the budget, once. The row stays,
-// so that the router's resends still find their answer.
-func (v *Vault) reverse(key, counting string) error {
+// reverseCharge returns the tokens of a bill to the budget, once. The row
+// stays, so that a resent charge is still answered with its bill.
+func (v *Vault) reverseCharge(key, counting string) error {
 	c := &messenger.Charge{}
-	known, err := v.find(BucketCharges, key, c)
+	known, err := v.lookup(BucketCharges, key, c)
 	if err != nil || !known || c.ReversedForZone != "" {
 		return err
 	}
 	c.ReversedForZone = counting
-	v.put(BucketCharges, key, c)
-	b := v.touch(c.Workspace)
+	v.storeOnDisk(BucketCharges, key, c)
+	b := v.bookForUpdate(c.Workspace)
 	b.charged -= rattanhoist.Tokens(c.Tokens)
-	v.addRights(b, rattanhoist.Tokens(c.Tokens), v.self.Unproved)
+	v.creditOrFreeze(b, rattanhoist.Tokens(c.Tokens), v.self.Unproved)
 	return nil
 }
--- a/budgeter/charge.go
+++ b/budgeter/charge.go
@@ -7,23 +7,25 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// chargesMost bounds the charges of one request.
-const chargesMost = 1024
+// maxChargesPerRequest is the maximum number of charges in one request.
+const maxChargesPerRequest = 1024
 
+// requestKey returns the key that identifies a charge's request.
 func requestKey(c *messenger.Charge) rattanhoist.RequestKey {
 	return rattanhoist.NewRequestKey(c.Workspace, c.RequestId)
 }
 
+// bill charges every request of a message and returns their results in order.
 func (v *Vault) bill(r *messenger.ChargeRequest) (proto.Message, error) {
-	if len(r.Charges) > chargesMost {
+	if len(r.Charges) > maxChargesPerRequest {
 		return nil, ErrAmount
 	}
-	if v.unheard(r.Router, r.Incarnation) {
+	if v.awaitsHoldings(r.Router, r.Incarnation) {
 		return nil, ErrRepairing
 	}
 	out := &messenger.ChargeReply{}
 	for _, c := range r.Charges {
-		result, err := v.charge(r.Router, r.Incarnation, c)
+		result, err := v.chargeOnce(r.Router, r.Incarnation, c)
 		if err != nil {
 			return nil, err
 		}
@@ -32,17 +34,18 @@
 	return out, nil
 }
 
-// charge bills one request once. The first bill answers every later one, and
-// says whether the asking incarnation paid it.
-func (v *Vault) charge(router string, incarnation uint64, c *messenger.Charge) (*messenger.ChargeResult, error) {
+// chargeOnce bills a request at most once. Later charges of the same request
+// get the first bill as the answer, which says whether the given incarnation
+// paid it.
+func (v *Vault) chargeOnce(router string, incarnation uint64, c *messenger.Charge) (*messenger.ChargeResult, error) {
 	old, err := v.Charge(requestKey(c))
 	if err != nil {
 		return nil, err
 	}
 	if old != nil {
-		return billed(old, router, incarnation), nil
+		return billedResult(old, router, incarnation), nil
 	}
-	if v.fencedOut(router, incarnation) {
+	if v.isFenced(router, incarnation) {
 		return &messenger.ChargeResult{State: messenger.ChargeState_CHARGE_STATE_FENCED}, nil
 	}
 	if v.tooOld(c) {
@@ -52,10 +55,12 @@
 	if l == nil || c.Tokens < 0 || outstanding(l) < rattanhoist.Tokens(c.Tokens) {
 		return &messenger.ChargeResult{State: messenger.ChargeState_CHARGE_STATE_NOT_LEASED}, nil
 	}
-	return billed(v.take(l, c), router, incarnation), nil
+	return billedResult(v.chargeLease(l, c), router, incarnation), nil
 }
 
-func billed(c *messenger.Charge, router string, incarnation uint64) *messenger.ChargeResult {
+// billedResult returns the answer for a billed charge. The tokens count as
+// spent only for the incarnation that was billed.
+func billedResult(c *messenger.Charge, router string, incarnation uint64) *messenger.ChargeResult {
 	out := &messenger.ChargeResult{State: messenger.ChargeState_CHARGE_STATE_BILLED, BilledTokens: c.Tokens}
 	if c.Router == router && c.Incarnation == incarnation {
 		out.SpentTokens = c.Tokens
@@ -63,59 +68,64 @@
 	return out
 }
 
-// take turns leased rights into the charge and returns its row.
-func (v *Vault) take(l *messenger.LeaseRow, c *messenger.Charge) *messenger.Charge {
-	b := v.touch(c.Workspace)
+// chargeLease turns leased rights into a charge and returns the charge's row.
+func (v *Vault) chargeLease(l *messenger.LeaseRow, c *messenger.Charge) *messenger.Charge {
+	b := v.bookForUpdate(c.Workspace)
 	b.leased -= rattanhoist.Tokens(c.Tokens)
 	b.charged += rattanhoist.Tokens(c.Tokens)
 	l.ChargedTokens += c.Tokens
 	v.storeLease(l)
 	row := proto.CloneOf(c)
 	row.Router, row.Incarnation = l.Router, l.Incarnation
-	v.put(BucketCharges, requestKey(c).String(), row)
-	if len(v.billed) == 0 || c.ChargedAtMs < v.billedMs {
-		v.billedMs = c.ChargedAtMs
+	v.storeOnDisk(BucketCharges, requestKey(c).String(), row)
+	if len(v.billedKeys) == 0 || c.ChargedAtMs < v.oldestBilledMs {
+		v.oldestBilledMs = c.ChargedAtMs
 	}
-	v.billed = append(v.billed, requestKey(c).String())
+	v.billedKeys = append(v.billedKeys, requestKey(c).String())
 	return row
 }
 
-// takeWitnessed bills a charge whose answer was completed already: it counts
-// even where its lease is unknown, and then stands as a debt of the book
-// until the mint that it was spent from is known again.
-func (v *Vault) takeWitnessed(c *messenger.Charge) error {
+// chargeWitnessed bills a charge whose answer is already complete. The charge
+// counts even if its lease is unknown. The missing rights are then a debt of
+// the book (negative frozen) until the mint that they came from is known again.
+func (v *Vault) chargeWitnessed(c *messenger.Charge) error {
 	old, err := v.Charge(requestKey(c))
-	// A charge that is too old was billed before, and its bill pruned.
+	// A charge that is too old was billed before and its bill was pruned.
 	if old != nil || err != nil || v.tooOld(c) {
 		return err
 	}
-	b := v.touch(c.Workspace)
-	l := v.leaseOf(b, c.Router, c.Incarnation)
+	b := v.bookForUpdate(c.Workspace)
+	l := v.ensureLease(b, c.Router, c.Incarnation)
 	if missing := c.Tokens - int64(outstanding(l)); missing > 0 {
 		l.GrantedTokens += missing
 		b.leased += rattanhoist.Tokens(missing)
 		b.frozen -= rattanhoist.Tokens(missing)
 	}
-	v.take(l, c)
+	v.chargeLease(l, c)
 	return nil
 }
 
+// witnessKey returns the key of a charge in BucketWitnessed.
 func witnessKey(c *messenger.Charge) string {
 	return c.Zone + "/" + incarnationKey(c.Router, c.Incarnation) + "/" + requestKey(c).String()
 }
 
-func (v *Vault) witness(r *messenger.ChargeRequest) (proto.Message, error) {
-	if len(r.Charges) > chargesMost {
+// storeWitnessed stores the charges of a router of another zone and returns
+// their results in order.
+func (v *Vault) storeWitnessed(r *messenger.ChargeRequest) (proto.Message, error) {
+	if len(r.Charges) > maxChargesPerRequest {
 		return nil, ErrAmount
 	}
 	out := &messenger.ChargeReply{}
 	for _, c := range r.Charges {
-		out.Results = append(out.Results, v.witnessOne(r, c))
+		out.Results = append(out.Results, v.storeWitnessedCharge(r, c))
 	}
 	return out, nil
 }
 
-func (v *Vault) witnessOne(r *messenger.ChargeRequest, c *messenger.Charge) *messenger.ChargeResult {
+// storeWitnessedCharge stores one charge once, unless the router's incarnation
+// is fenced.
+func (v *Vault) storeWitnessedCharge(r *messenger.ChargeRequest, c *messenger.Charge) *messenger.ChargeResult {
 	row := proto.CloneOf(c)
 	row.Router, row.Incarnation = r.Router, r.Incarnation
 	if r.Zone != "" {
@@ -125,27 +135,29 @@
 		return &messenger.ChargeResult{State: messenger.ChargeState_CHARGE_STATE_NOT_LEASED}
 	}
 	if old := v.witnessed[witnessKey(row)]; old != nil {
-		return billed(old, r.Router, r.Incarnation)
+		return billedResult(old, r.Router, r.Incarnation)
 	}
-	if r.Incarnation <= v.refused[row.Zone+"/"+r.Router] {
+	if r.Incarnation <= v.witnessFences[row.Zone+"/"+r.Router] {
 		return &messenger.ChargeResult{State: messenger.ChargeState_CHARGE_STATE_FENCED}
 	}
 	v.witnessed[witnessKey(row)] = row
-	v.store(BucketWitnessed, witnessKey(row), row)
-	return billed(row, r.Router, r.Incarnation)
+	v.storeResident(BucketWitnessed, witnessKey(row), row)
+	return billedResult(row, r.Router, r.Incarnation)
 }
 
+// fenceWitness refuses further charges of a router's incarnations and returns
+// the stored ones.
 func (v *Vault) fenceWitness(r *messenger.FenceWitnessRequest) (proto.Message, error) {
 	if v.self.Unproved {
 		return nil, ErrRepairing
 	}
 	key := r.Zone + "/" + r.Router
-	if r.Incarnation > v.refused[key] {
-		v.refused[key] = r.Incarnation
-		v.store(BucketRefused, key, r)
+	if r.Incarnation > v.witnessFences[key] {
+		v.witnessFences[key] = r.Incarnation
+		v.storeResident(BucketRefused, key, r)
 	}
 	out := &messenger.FenceWitnessReply{IncompleteBefore: v.self.IncompleteBefore}
-	for _, c := range inOrder(v.witnessed) {
+	for _, c := range sortedByKey(v.witnessed) {
 		if c.Zone == r.Zone && c.Router == r.Router && c.Incarnation <= r.Incarnation {
 			out.Charges = append(out.Charges, c)
 		}
@@ -153,13 +165,15 @@
 	return out, nil
 }
 
-// WitnessedCount returns how many charges wait to be handed over.
+// WitnessedCount returns the number of stored charges that are not handed over
+// yet.
 func (v *Vault) WitnessedCount() int { return len(v.witnessed) }
 
-// Witnessed returns up to most charges that wait to be handed to a zone.
+// WitnessedCharges returns up to most stored charges that are to be handed over
+// to a zone.
 func (v *Vault) Witnessed(zone string, most int) []*messenger.Charge {
 	var out []*messenger.Charge
-	for _, c := range inOrder(v.witnessed) {
+	for _, c := range sortedByKey(v.witnessed) {
 		if c.Zone == zone && len(out) < most {
 			out = append(out, c)
 		}
@@ -167,6 +181,7 @@
 	return out
 }
 
+// handOver bills charges that another zone's vault has stored as the witness.
 func (v *Vault) handOver(r *messenger.HandOverRequest) (proto.Message, error) {
 	if v.self.Unproved {
 		return nil, ErrRepairing
@@ -174,18 +189,20 @@
 	return &messenger.HandOverReply{}, v.billWitnessed(r.Charges)
 }
 
+// billWitnessed bills stored charges until the first error.
 func (v *Vault) billWitnessed(charges []*messenger.Charge) error {
 	for _, c := range charges {
-		if err := v.takeWitnessed(c); err != nil {
+		if err := v.chargeWitnessed(c); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (v *Vault) handedOver(e HandedOver) {
+// dropWitnessed deletes stored charges after their own zone has billed them.
+func (v *Vault) dropWitnessed(e HandedOver) {
 	for _, c := range e.Charges {
 		delete(v.witnessed, witnessKey(c))
-		v.remove(BucketWitnessed, witnessKey(c))
+		v.deleteResident(BucketWitnessed, witnessKey(c))
 	}
 }
--- a/budgeter/copier.go
+++ b/budgeter/copier.go
@@ -13,55 +13,58 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Modes of a copier: whether commits reach the mirror, and so what may be
-// answered.
+// Modes of a Copier. They say whether commits reach the mirror and which
+// answers are allowed.
 const (
-	// ModeStarting: the mirror has never had the whole of this incarnation, so
-	// a lost disk could pass for a first start. Nothing is answered.
+	// ModeStarting: the mirror has never had a complete copy of this
+	// incarnation, so a lost disk could be mistaken for a first start. No
+	// answers are sent.
 	ModeStarting = "starting"
-	// ModePaired: every answer is on two disks.
+	// ModePaired: every answer is stored on two disks.
 	ModePaired = "paired"
-	// ModeMarking: the mirror is lost and nobody else knows yet that the copy
-	// will fall behind. Nothing is answered.
+	// ModeMarking: the mirror is unreachable and no other node knows yet that
+	// the copy will fall behind. No answers are sent.
 	ModeMarking = "marking"
-	// ModeSolo: answers are on one disk; rights are not given to other zones.
+	// ModeSolo: answers are stored on one disk. Rights are not transferred to
+	// other zones.
 	ModeSolo = "solo"
 )
 
-// Events of a copier's life.
+// Events that change the mode of a Copier.
 const (
 	eventCaughtUp = "caught_up"
 	eventLost     = "lost"
 	eventMarked   = "marked"
 )
 
-// logMost bounds the remembered commits by the bytes of their rows; a mirror
-// that is further behind gets a whole copy.
-const logMost = 8 << 20
+// maxLogBytes bounds the size of the retained commits. A mirror that is further
+// behind gets a complete copy.
+const maxLogBytes = 8 << 20
 
-// Copier numbers the commits of a vault, remembers the latest ones and
-// decides when they may be answered. It is not safe for concurrent use.
+// Copier numbers the commits of a vault, retains the latest ones for the mirror
+// and decides when they may be answered. It is not safe for concurrent use.
 type Copier struct {
-	life *fsm.FSM
-	// State is that of the last commit.
+	modes *fsm.FSM
+	// state is the state of the last commit.
 	state *messenger.CopyState
-	// Log holds the latest commits without a gap, the last one at the end.
+	// log holds the latest commits without gaps, in ascending order.
 	log      []*messenger.CopyRequest
 	logBytes int
-	// AtRisk counts commits that were answered from one disk and are not yet
-	// on the mirror.
-	atRisk uint64
+	// unmirrored counts commits that were answered from one disk and are not on
+	// the mirror yet.
+	unmirrored uint64
 }
 
 // NewCopier returns the copier of a vault whose last commit is state. Only a
-// vault that was paired before may go on without its mirror.
+// vault that was paired before may continue without its mirror. The function
+// changed is called after each change of the mode.
 func NewCopier(state *messenger.CopyState, pairedBefore bool, changed func(from, to string)) *Copier {
 	first := ModeStarting
 	if pairedBefore {
 		first = ModeMarking
 	}
 	c := &Copier{state: proto.CloneOf(state)}
-	c.life = fsm.NewFSM(first, fsm.Events{
+	c.modes = fsm.NewFSM(first, fsm.Events{
 		{Name: eventCaughtUp, Src: []string{ModeStarting, ModeMarking, ModeSolo}, Dst: ModePaired},
 		{Name: eventLost, Src: []string{ModePaired}, Dst: ModeMarking},
 		{Name: eventMarked, Src: []string{ModeMarking}, Dst: ModeSolo},
@@ -70,45 +73,47 @@
 }
 
 // Mode returns the current mode.
-func (c *Copier) Mode() string { return c.life.Current() }
+func (c *Copier) Mode() string { return c.modes.Current() }
 
 // State returns the state of the last commit.
 func (c *Copier) State() *messenger.CopyState { return c.state }
 
-// AtRisk returns how many commits are answered and on one disk only.
-func (c *Copier) AtRisk() uint64 { return c.atRisk }
+// UnmirroredCommits returns the number of commits that were answered and are
+// stored on one disk only.
+func (c *Copier) AtRisk() uint64 { return c.unmirrored }
 
-// Prepare numbers the rows of the next commit; the shell writes the new state
-// with them and then calls Commit.
+// Prepare numbers the rows of the next commit. The shell writes the new state
+// together with the rows and then calls Commit.
 func (c *Copier) Prepare(rows []*messenger.CopyRow) *messenger.CopyRequest {
 	next := proto.CloneOf(c.state)
 	next.Number++
-	next.Digest = chain(c.state.Digest, rows)
+	next.Digest = chainDigest(c.state.Digest, rows)
 	return &messenger.CopyRequest{State: next, PreviousDigest: c.state.Digest, Rows: rows}
 }
 
-// Commit notes that a prepared commit is synced here, so that the mirror may
-// have it: a mirror that is ahead of this disk would restore what a crash took
-// back.
+// Commit records that a prepared commit is synced to the local disk, so that it
+// may be sent to the mirror. A mirror that is ahead of the local disk would
+// restore commits that a crash has undone.
 func (c *Copier) Commit(r *messenger.CopyRequest) {
 	c.state = r.State
-	c.remember(r)
+	c.appendLog(r)
 	if c.Mode() == ModeSolo {
-		c.atRisk++
+		c.unmirrored++
 	}
 }
 
-func (c *Copier) remember(r *messenger.CopyRequest) {
+// appendLog retains a commit and drops the oldest ones beyond maxLogBytes.
+func (c *Copier) appendLog(r *messenger.CopyRequest) {
 	c.log = append(c.log, r)
 	c.logBytes += proto.Size(r)
-	for c.logBytes > logMost && len(c.log) > 1 {
+	for c.logBytes > maxLogBytes && len(c.log) > 1 {
 		c.logBytes -= proto.Size(c.log[0])
 		c.log = c.log[1:]
 	}
 }
 
-// Missing returns the commits that a mirror in the given state lacks; whole
-// means that only a whole copy helps.
+// MissingCommits returns the commits that a mirror in the given state lacks. If
+// whole is true, the mirror needs a complete copy instead.
 func (c *Copier) Missing(mirror *messenger.CopyState) (commits []*messenger.CopyRequest, whole bool) {
 	if proto.Equal(mirror, c.state) {
 		return nil, false
@@ -123,82 +128,89 @@
 	return c.log[i:], false
 }
 
-// CaughtUp notes that the mirror has everything up to state, and reports
-// whether the vault is paired: a commit may have come in between.
+// MirrorCaughtUp records that the mirror has all commits up to a state. It
+// reports whether the vault is paired now, which fails if another commit was
+// made in the meantime.
 func (c *Copier) CaughtUp(mirror *messenger.CopyState) bool {
 	if !proto.Equal(mirror, c.state) {
 		return false
 	}
-	c.atRisk = 0
-	c.event(eventCaughtUp)
+	c.unmirrored = 0
+	c.fire(eventCaughtUp)
 	return c.Mode() == ModePaired
 }
 
-// Lost notes that a commit may not have reached the mirror.
-func (c *Copier) Lost() { c.event(eventLost) }
+// MirrorLost records that a commit may not have reached the mirror.
+func (c *Copier) Lost() { c.fire(eventLost) }
 
-// Marked notes that another node knows that the copy falls behind.
+// SoloMarkStored records that another node knows that the copy will fall
+// behind.
 func (c *Copier) Marked() {
-	c.event(eventMarked)
-	if c.Mode() == ModeSolo && c.atRisk == 0 {
-		c.atRisk = 1
+	c.fire(eventMarked)
+	if c.Mode() == ModeSolo && c.unmirrored == 0 {
+		c.unmirrored = 1
 	}
 }
 
-func (c *Copier) event(name string) {
-	if c.life.Can(name) {
-		// Can has ruled out every error that these events can give.
-		_ = c.life.Event(context.Background(), name)
+// fire applies an event if the current mode allows it.
+func (c *Copier) fire(name string) {
+	if c.modes.Can(name) {
+		// Can has excluded every error that these events can return.
+		_ = c.modes.Event(context.Background(), name)
 	}
 }
 
-// TakeCopy reports whether a commit follows the copy that a mirror has. After a
-// gap, or on another history, the copy would lack commits, and a restore would
-// bring back rights that they had moved.
+// FollowsCopy reports whether a commit directly follows the state of a mirror's
+// copy. After a gap, or with another history, the copy would lack commits, and
+// a restore would bring back rights that those commits had moved.
 func TakeCopy(have *messenger.CopyState, r *messenger.CopyRequest) bool {
 	return have.GetIncarnation() == r.State.Incarnation &&
 		have.GetNumber()+1 == r.State.Number &&
 		have.GetDigest() == r.PreviousDigest &&
-		chain(r.PreviousDigest, r.Rows) == r.State.Digest
+		chainDigest(r.PreviousDigest, r.Rows) == r.State.Digest
 }
 
-func chain(previous uint64, rows []*messenger.CopyRow) uint64 {
+// chainDigest returns the digest of a commit's rows, chained to the digest of
+// the previous commit.
+func chainDigest(previous uint64, rows []*messenger.CopyRow) uint64 {
 	d := NewRowDigest()
-	d.add(binary.LittleEndian.AppendUint64(nil, previous))
+	d.addBytes(binary.LittleEndian.AppendUint64(nil, previous))
 	for _, r := range rows {
 		d.Add(r)
 	}
 	return d.Sum()
 }
 
-// RowDigest sums rows in order.
+// RowDigest computes a digest of a sequence of rows; their order matters.
 type RowDigest struct{ hash *xxhash.Digest }
 
-// NewRowDigest returns the digest of no rows.
+// NewRowDigest returns the digest of an empty sequence.
 func NewRowDigest() *RowDigest { return &RowDigest{hash: xxhash.New()} }
 
-// Add adds a row.
+// Add appends a row to the sequence.
 func (d *RowDigest) Add(r *messenger.CopyRow) {
-	d.add([]byte(r.Bucket))
-	d.add([]byte(r.Key))
+	d.addBytes([]byte(r.Bucket))
+	d.addBytes([]byte(r.Key))
 	if r.Value == nil {
-		d.add([]byte{0})
+		d.addBytes([]byte{0})
 		return
 	}
-	d.add([]byte{1})
-	d.add(r.Value)
+	d.addBytes([]byte{1})
+	d.addBytes(r.Value)
 }
 
-func (d *RowDigest) add(b []byte) {
+// addBytes hashes a byte string with its length, so that adjacent strings can't
+// be confused.
+func (d *RowDigest) addBytes(b []byte) {
 	_, _ = d.hash.Write(binary.LittleEndian.AppendUint64(nil, uint64(len(b))))
 	_, _ = d.hash.Write(b)
 }
 
-// Sum returns the digest so far.
+// Sum returns the digest of the rows added so far.
 func (d *RowDigest) Sum() uint64 { return d.hash.Sum64() }
 
-// CopyRows turns the writes of steps into the rows of one commit, each row
-// once with its last value, in order.
+// MergeWrites merges the writes of several steps into the rows of one commit.
+// Each row appears once with its last value, sorted by bucket and key.
 func CopyRows(writes []Write) []*messenger.CopyRow {
 	last := make(map[rowKey]int, len(writes))
 	for i, w := range writes {
@@ -219,8 +231,9 @@
 	return out
 }
 
-// NeedsTwoDisks reports whether the answer to an event moves rights to where
-// a restored copy would not know of it; it must wait for the mirror.
+// NeedsTwoDisks reports whether the answer to an event must wait for the
+// mirror. Such an answer moves rights or charges to a place that a vault
+// restored from an older copy would not know of.
 func NeedsTwoDisks(e Event) bool {
 	switch e.(type) {
 	case Ask, Receive, FenceWitness, HandOver, ClaimBills:
--- a/budgeter/escrow.go
+++ b/budgeter/escrow.go
@@ -10,6 +10,7 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
+// mint creates the rights of a top-up, once for each top-up ID.
 func (v *Vault) mint(r *messenger.TopUpRequest) (proto.Message, error) {
 	if zone, ok := rattanhoist.TopUpZone(r.TopUpId); !ok || zone != v.zone {
 		return nil, ErrWrongZone
@@ -18,7 +19,7 @@
 		return nil, ErrAmount
 	}
 	old := &messenger.TopUpRequest{}
-	known, err := v.find(BucketTopUps, r.TopUpId, old)
+	known, err := v.lookup(BucketTopUps, r.TopUpId, old)
 	if err != nil {
 		return nil, err
 	}
@@ -31,12 +32,13 @@
 	if err := v.addMinted(r); err != nil {
 		return nil, err
 	}
-	v.put(BucketTopUps, r.TopUpId, r)
+	v.storeOnDisk(BucketTopUps, r.TopUpId, r)
 	return &messenger.TopUpReply{MintedTokens: r.Tokens}, nil
 }
 
-// addMinted freezes the rights while it is unknown what a lost disk had
-// answered: the top-up may be the resend of one that was minted and spent.
+// addMinted adds the rights of a top-up to its book. It freezes them while a
+// restore is unverified: the top-up may be the resend of one that the lost disk
+// had minted and that was already spent.
 func (v *Vault) addMinted(r *messenger.TopUpRequest) error {
 	b := v.book(r.Workspace)
 	minted, err := b.minted.Add(rattanhoist.Tokens(r.Tokens))
@@ -46,13 +48,14 @@
 	if _, err := minted.Add(b.received); err != nil {
 		return ErrAmount
 	}
-	v.touch(r.Workspace)
+	v.bookForUpdate(r.Workspace)
 	b.minted = minted
-	v.addRights(b, rattanhoist.Tokens(r.Tokens), v.self.Unproved)
+	v.creditOrFreeze(b, rattanhoist.Tokens(r.Tokens), v.self.Unproved)
 	return nil
 }
 
-func (*Vault) addRights(b *book, n rattanhoist.Tokens, frozen bool) {
+// creditOrFreeze adds rights to the frozen or to the spendable ones.
+func (*Vault) creditOrFreeze(b *book, n rattanhoist.Tokens, frozen bool) {
 	if frozen {
 		b.frozen += n
 		return
@@ -60,35 +63,40 @@
 	b.credit(n)
 }
 
-func (v *Vault) give(r *messenger.AskRequest) (proto.Message, error) {
+// startTransfer moves up to the wanted number of unspent rights into a transfer
+// to the requesting zone. The transfer stays pending until it is confirmed.
+func (v *Vault) startTransfer(r *messenger.AskRequest) (proto.Message, error) {
 	b := v.book(r.Workspace)
 	n := min(max(rattanhoist.Tokens(r.WantTokens), 0), b.unspent)
 	if n == 0 || r.Zone == v.zone || r.Zone == "" {
 		return &messenger.AskReply{LeftTokens: int64(b.unspent), HeldTokens: int64(b.held(r.Zone))}, nil
 	}
-	v.touch(r.Workspace)
+	v.bookForUpdate(r.Workspace)
 	v.self.LastTransfer++
 	v.storeSelf()
 	t := &messenger.Transfer{
-		// The incarnation keeps numbers apart that a lost disk had used.
+		// The incarnation keeps the IDs unique even if a lost disk had used the
+		// same numbers.
 		TransferId: fmt.Sprintf("%s/%d/%d", v.zone, v.self.Incarnation, v.self.LastTransfer),
 		Workspace:  r.Workspace, FromZone: v.zone, ToZone: r.Zone, Tokens: int64(n), ToIncarnation: r.VaultIncarnation,
 	}
 	b.unspent -= n
 	b.given += n
 	v.pending[t.TransferId] = t
-	b.move(t.ToZone, n)
-	v.store(BucketTransfers, t.TransferId, t)
+	b.adjustInFlight(t.ToZone, n)
+	v.storeResident(BucketTransfers, t.TransferId, t)
 	return &messenger.AskReply{Transfer: t, LeftTokens: int64(b.unspent), HeldTokens: int64(b.held(r.Zone))}, nil
 }
 
-func (v *Vault) receive(r *messenger.GiveRequest) (proto.Message, error) {
+// receiveTransfers credits every new transfer to this zone and returns the IDs
+// of all that are recorded.
+func (v *Vault) receiveTransfers(r *messenger.GiveRequest) (proto.Message, error) {
 	out := &messenger.GiveReply{}
 	for _, t := range r.Transfers {
 		if t.ToZone != v.zone {
 			continue
 		}
-		known, err := v.find(BucketReceived, t.TransferId, &messenger.Transfer{})
+		known, err := v.lookup(BucketReceived, t.TransferId, &messenger.Transfer{})
 		if err != nil {
 			return nil, err
 		}
@@ -100,37 +108,39 @@
 	return out, nil
 }
 
-// addReceived freezes rights that were given to a lost disk, which may have
-// received and leased them before.
+// addReceived adds a transfer to its book. While a restore is unverified, it
+// freezes rights that were sent to an earlier incarnation, because the lost
+// disk may have received and leased them already.
 func (v *Vault) addReceived(t *messenger.Transfer) {
-	b := v.touch(t.Workspace)
+	b := v.bookForUpdate(t.Workspace)
 	b.received += rattanhoist.Tokens(t.Tokens)
-	v.addRights(b, rattanhoist.Tokens(t.Tokens), v.self.Unproved && t.ToIncarnation != v.self.Incarnation)
-	v.put(BucketReceived, t.TransferId, t)
+	v.creditOrFreeze(b, rattanhoist.Tokens(t.Tokens), v.self.Unproved && t.ToIncarnation != v.self.Incarnation)
+	v.storeOnDisk(BucketReceived, t.TransferId, t)
 }
 
-func (v *Vault) confirm(e Confirm) {
+// confirmTransfers removes transfers that the other zone has recorded.
+func (v *Vault) confirmTransfers(e Confirm) {
 	for _, id := range e.TransferIDs {
 		t := v.pending[id]
 		if t == nil {
 			continue
 		}
 		delete(v.pending, id)
-		v.book(t.Workspace).move(t.ToZone, -rattanhoist.Tokens(t.Tokens))
-		v.remove(BucketTransfers, id)
+		v.book(t.Workspace).adjustInFlight(t.ToZone, -rattanhoist.Tokens(t.Tokens))
+		v.deleteResident(BucketTransfers, id)
 	}
 }
 
-// Pending returns the transfers that still wait for a confirmation.
+// PendingTransfers returns the unconfirmed outgoing transfers, sorted by ID.
 func (v *Vault) Pending() []*messenger.Transfer {
 	out := make([]*messenger.Transfer, 0, len(v.pending))
-	for _, t := range inOrder(v.pending) {
+	for _, t := range sortedByKey(v.pending) {
 		out = append(out, t)
 	}
 	return out
 }
 
-// Unspent returns the rights of a workspace that may be leased or given.
+// Unspent returns the rights of a workspace that can be leased or transferred.
 func (v *Vault) Unspent(workspace string) int64 {
 	if b := v.books[workspace]; b != nil {
 		return int64(b.unspent)
@@ -138,11 +148,12 @@
 	return 0
 }
 
-// UnderWay returns the rights of a workspace that are on their way, by zone.
+// InFlight returns the rights of a workspace in unconfirmed outgoing transfers,
+// by receiving zone.
 func (v *Vault) UnderWay(workspace string) map[string]rattanhoist.Tokens {
 	b := v.books[workspace]
 	if b == nil {
 		return nil
 	}
-	return maps.Clone(b.underWay)
+	return maps.Clone(b.inFlight)
 }
--- a/budgeter/export_test.go
+++ b/budgeter/export_test.go
@@ -2,9 +2,9 @@
 
 import "rattanhoist.example/rattanhoist"
 
-// SpreadForTest grants n tokens and shares them out among the stripes, as
-// contention would.
-func SpreadForTest(s *Slice, n rattanhoist.Tokens) {
+// GrantDistributedForTest grants n tokens and distributes them over the
+// stripes, as contention would.
+func GrantDistributedForTest(s *Slice, n rattanhoist.Tokens) {
 	s.Grant(n)
-	s.spreadOut(0)
+	s.distribute(0)
 }
--- a/budgeter/fuzz_test.go
+++ b/budgeter/fuzz_test.go
@@ -17,11 +17,12 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// fullRun is the number of checks in CI; a run of that many sees every fault.
-const fullRun = 300
+// ciChecks is the number of checks in CI. A run with this many checks meets
+// every kind of fault.
+const ciChecks = 300
 
-// The seed is fixed for CI; FUZZ_SEED and FUZZ_CHECKS make a longer or another
-// run of the same test.
+// The seed is fixed for CI. FUZZ_SEED and FUZZ_CHECKS set another seed and a
+// longer run of the same test.
 func init() {
 	set := func(name, env, fallback string) {
 		if v := os.Getenv(env); v != "" {
@@ -32,7 +33,7 @@
 		}
 	}
 	set("rapid.seed", "FUZZ_SEED", "20251202")
-	set("rapid.checks", "FUZZ_CHECKS", strconv.Itoa(fullRun))
+	set("rapid.checks", "FUZZ_CHECKS", strconv.Itoa(ciChecks))
 	set("rapid.steps", "FUZZ_STEPS", "500")
 }
 
@@ -41,7 +42,8 @@
 	requests   = []string{"1", "2", "3", "4"}
 )
 
-// machine draws what happens to a world.
+// machine defines the random actions on a simulated deployment. Its exported
+// methods are the actions.
 type machine struct{ *world }
 
 func (m machine) router(t *rapid.T) *routerNode {
@@ -56,7 +58,7 @@
 
 func workspace(t *rapid.T) string { return rapid.SampledFrom(workspaces).Draw(t, "workspace") }
 
-// pick draws a running router that fits.
+// pick draws a running router that satisfies fits.
 func (m machine) pick(t *rapid.T, fits func(*routerNode) bool) *routerNode {
 	var out []*routerNode
 	for _, r := range m.routers {
@@ -70,19 +72,21 @@
 	return rapid.SampledFrom(out).Draw(t, "router")
 }
 
+// active draws a running router.
 func (m machine) active(t *rapid.T) *routerNode {
 	return m.pick(t, func(*routerNode) bool { return true })
 }
 
-// request draws a shared identity, which other routers run too, or a new one.
+// request draws a request ID that other routers use too, or a new one.
 func (m machine) request(t *rapid.T) string {
 	if rapid.Bool().Draw(t, "shared") {
-		// A caller that repeats a request does so within a window.
-		return fmt.Sprint(rapid.SampledFrom(requests).Draw(t, "request"), "@", m.clock/window)
+		// A caller repeats a request only within one window.
+		return fmt.Sprint(rapid.SampledFrom(requests).Draw(t, "request"), "@", m.clock/requestWindowMs)
 	}
-	return fmt.Sprint("n", m.next())
+	return fmt.Sprint("n", m.nextID())
 }
 
+// TopUp sends a new top-up or repeats an earlier one.
 func (m machine) TopUp(t *rapid.T) {
 	k := m.keeper(t)
 	id := fmt.Sprintf("%s/%d", k.zone, rapid.IntRange(1, 2).Draw(t, "id"))
@@ -94,52 +98,61 @@
 	m.send(k.zone, k.zone, func() { _, _ = m.commit(k, budgeter.Mint{Request: r}) })
 }
 
+// Lease requests rights for a router.
 func (m machine) Lease(t *rapid.T) { m.lease(m.active(t), workspace(t), amount(t, 60)) }
+
+// Return returns rights of a router.
 func (m machine) Return(t *rapid.T) {
 	m.giveBack(m.active(t), workspace(t), rattanhoist.Tokens(amount(t, 60)))
 }
 
+// Run starts a run of a request.
 func (m machine) Run(t *rapid.T) {
 	name := workspace(t)
-	r := m.pick(t, func(r *routerNode) bool { return r.purse(name).slice.Left() > 0 })
-	worst := min(rattanhoist.Tokens(amount(t, 40)), r.purse(name).slice.Left())
+	r := m.pick(t, func(r *routerNode) bool { return r.leaseOf(name).slice.Left() > 0 })
+	worst := min(rattanhoist.Tokens(amount(t, 40)), r.leaseOf(name).slice.Left())
 	m.begin(r, name, m.request(t), worst)
 }
 
+// Finish ends a run, or resends its charge.
 func (m machine) Finish(t *rapid.T) {
 	r := m.pick(t, func(r *routerNode) bool { return len(r.runs) > 0 })
 	id := rapid.SampledFrom(slices.Sorted(maps.Keys(r.runs))).Draw(t, "run")
 	m.finish(r, id, amount(t, 40), rapid.IntRange(0, 3).Draw(t, "witness") == 0)
 }
 
+// Deliver delivers messages in random order, some of them twice.
 func (m machine) Deliver(t *rapid.T) {
-	if len(m.pool) == 0 {
+	if len(m.inFlight) == 0 {
 		t.Skip("no message")
 	}
 	for range rapid.IntRange(1, 6).Draw(t, "messages") {
-		if len(m.pool) > 0 {
+		if len(m.inFlight) > 0 {
 			m.deliverOne(t)
 		}
 	}
 }
 
+// deliverOne delivers a random message and sometimes keeps it for another
+// delivery.
 func (m machine) deliverOne(t *rapid.T) {
-	i := rapid.IntRange(0, len(m.pool)-1).Draw(t, "message")
-	x := m.pool[i]
+	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "message")
+	x := m.inFlight[i]
 	if rapid.IntRange(0, 9).Draw(t, "again") > 0 {
-		m.pool = slices.Delete(m.pool, i, i+1)
+		m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	}
 	if m.reachable(x.from, x.to) {
 		x.deliver()
 	}
 }
 
-// The copies are drawn as often as the rest: work has to outweigh faults.
-// Drain delivers what is in the pool in order, as a quiet network does.
+// Drain delivers all messages in flight in order, as a network without faults
+// does. The actions that end in a number (Drain2, Lease2 and so on) repeat
+// others, so that regular work is drawn more often than faults.
 func (m machine) Drain(*rapid.T) {
-	for range len(m.pool) {
-		x := m.pool[0]
-		m.pool = m.pool[1:]
+	for range len(m.inFlight) {
+		x := m.inFlight[0]
+		m.inFlight = m.inFlight[1:]
 		if m.reachable(x.from, x.to) {
 			x.deliver()
 		}
@@ -159,16 +172,19 @@
 	}
 }
 
+// Drop loses a message.
 func (m machine) Drop(t *rapid.T) {
-	if len(m.pool) == 0 {
+	if len(m.inFlight) == 0 {
 		t.Skip("no message")
 	}
-	i := rapid.IntRange(0, len(m.pool)-1).Draw(t, "message")
-	m.pool = slices.Delete(m.pool, i, i+1)
+	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "message")
+	m.inFlight = slices.Delete(m.inFlight, i, i+1)
 }
 
+// Ask makes a zone request rights from another one.
 func (m machine) Ask(t *rapid.T) { m.ask(m.keeper(t), m.keeper(t), workspace(t), amount(t, 60)) }
 
+// Timers runs one periodic task of a keeper.
 func (m machine) Timers(t *rapid.T) {
 	k := m.keeper(t)
 	switch rapid.IntRange(0, 6).Draw(t, "timer") {
@@ -192,6 +208,7 @@
 
 func (m machine) Timers2(t *rapid.T) { m.Timers(t) }
 
+// Fence fences a router's current incarnation.
 func (m machine) Fence(t *rapid.T) {
 	rarely(t)
 	r := m.router(t)
@@ -199,6 +216,7 @@
 	_, _ = m.commit(k, budgeter.Fence{Request: &messenger.FenceRequest{Router: r.name, Incarnation: r.incarnation}})
 }
 
+// CutOrHeal partitions two zones or ends their partition.
 func (m machine) CutOrHeal(t *rapid.T) {
 	rarely(t)
 	a, b := m.keeper(t).zone, m.keeper(t).zone
@@ -208,25 +226,28 @@
 	}
 }
 
+// CrashSoon makes the next commit crash its keeper.
 func (m machine) CrashSoon(t *rapid.T) {
 	rarely(t)
 	m.crash = crashPoint(rapid.IntRange(1, int(crashPoints)-1).Draw(t, "point"))
 }
 
+// Keeper stops a keeper.
 func (m machine) Keeper(t *rapid.T) {
 	rarely(t)
 	k := m.keeper(t)
 	m.stopKeeper(k)
 }
 
+// StartKeeper starts a stopped keeper.
 func (m machine) StartKeeper(t *rapid.T) {
 	if k := m.keeper(t); k.vault == nil {
 		m.startKeeper(k)
 	}
 }
 
-// LoseDisk wipes a keeper whose copy exists: with both lost at once nothing
-// is promised. A router on the same VM may go with it.
+// LoseDisk erases a keeper's disk if its copy exists; the protocol does not
+// cover the loss of both at once. A router on the same VM may be lost too.
 func (m machine) LoseDisk(t *rapid.T) {
 	rarely(t)
 	k := m.keeper(t)
@@ -239,17 +260,18 @@
 	if c == nil || !k.disk.paired {
 		t.Skip("no second disk")
 	}
-	// Charges may be gone for good where the disk and a router die.
-	k.lossy = true
+	// Charges can be lost permanently if the disk and a router fail.
+	k.mayLackAnswers = true
 	m.stopKeeper(k)
 	k.disk = newDisk()
-	m.seen["disk lost"]++
+	m.counts["disk lost"]++
 	if rapid.Bool().Draw(t, "whole VM") {
 		r := m.zoneRouters(k.zone)[0]
 		r.up, r.frozen = false, false
 	}
 }
 
+// Router suspends or stops a router.
 func (m machine) Router(t *rapid.T) {
 	rarely(t)
 	r := m.router(t)
@@ -260,6 +282,7 @@
 	r.up, r.frozen = false, false
 }
 
+// StartRouter resumes a suspended router or starts a stopped one.
 func (m machine) StartRouter(t *rapid.T) {
 	r := m.router(t)
 	switch {
@@ -270,94 +293,96 @@
 	}
 }
 
-// Check compares the world with the flat book: what was paid, less what whole
-// answers have cost, is never negative.
+// Check verifies that the completed answers of a workspace never cost more than
+// was paid.
 func (m machine) Check(t *rapid.T) {
-	m.seen["steps"]++
+	m.counts["steps"]++
 	m.clock++
 	if m.fault != "" {
 		t.Fatalf("%s\n%s", m.fault, strings.Join(m.trace, "\n"))
 	}
 	for _, name := range workspaces {
-		if paid, spent := m.flat(name); spent > paid {
+		if paid, spent := m.paidAndSpent(name); spent > paid {
 			t.Fatalf("workspace %s: overspent: completed %d of %d paid\n%s", name, spent, paid, m.dump(name))
 		}
 	}
 }
 
-// settle heals everything and lets every message arrive.
+// settle ends all faults and delivers every message.
 func (w *world) settle() {
 	w.cut, w.crash = map[[2]string]bool{}, crashNever
-	w.thawLate()
+	w.thawFencedRouters()
 	for range 10 {
 		w.settleOnce()
 	}
-	w.spendRounds()
-	w.clock += 2 * retention
-	w.spendRounds()
-	// What was pruned is known after a restart.
+	w.spendAllRepeatedly()
+	w.clock += 2 * retentionMs
+	w.spendAllRepeatedly()
+	// The pruning state must survive a restart.
 	for _, z := range w.zones {
 		w.stopKeeper(w.keepers[z])
 		w.startKeeper(w.keepers[z])
 		w.pair(w.keepers[z])
 	}
 	w.deliverLate()
-	w.spendRounds()
+	w.spendAllRepeatedly()
 	w.checkAgreement()
-	// Two runs of a request, one of them witnessed, leave the price of one in
-	// its lease until the incarnation ends.
+	// If one of two runs of a request was witnessed, the price of one run stays
+	// in its lease until the router's incarnation ends.
 	for _, r := range w.routers {
 		w.startRouter(r)
 	}
-	w.spendRounds()
+	w.spendAllRepeatedly()
 }
 
-// thawLate fences the routers that are frozen, lets the others spend what
-// returns, and then lets the frozen ones spend through their witnesses what
-// they believe they hold.
-func (w *world) thawLate() {
+// thawFencedRouters fences the suspended routers and lets the others spend the
+// rights that are returned. Then it resumes the suspended routers and lets them
+// spend through their witnesses the rights that they still assume to hold.
+func (w *world) thawFencedRouters() {
 	for _, r := range w.routers {
 		if r.up && r.frozen {
 			k := w.keepers[r.zone]
 			_, _ = w.commit(k, budgeter.Fence{Request: &messenger.FenceRequest{Router: r.name, Incarnation: r.incarnation}})
 		}
 	}
-	w.spendRounds()
+	w.spendAllRepeatedly()
 	for _, r := range w.routers {
 		if !r.up || !r.frozen {
 			continue
 		}
 		r.frozen = false
 		for _, name := range workspaces {
-			if n := r.purse(name).slice.Left(); n > 0 {
-				w.begin(r, name, fmt.Sprint("thawed", w.next()), n)
+			if n := r.leaseOf(name).slice.Left(); n > 0 {
+				w.begin(r, name, fmt.Sprint("thawed", w.nextID()), n)
 			}
 		}
 		for _, id := range slices.Sorted(maps.Keys(r.runs)) {
 			w.finish(r, id, int64(r.runs[id].reserved), true)
 		}
-		w.seen["thawed"]++
+		w.counts["thawed"]++
 	}
 }
 
-func (w *world) spendRounds() {
+// spendAllRepeatedly repeats spendAll and settleOnce, so that returned rights
+// are spent too.
+func (w *world) spendAllRepeatedly() {
 	for range 5 {
 		w.spendAll()
 		w.settleOnce()
 	}
 }
 
-// spendAll has every router spend every right that it can get: a right that
-// exists twice shows as an overspend, one that is lost as a rest.
+// spendAll lets every router spend all rights that it can get. Duplicated
+// rights then show as overspending, and lost rights as an unspent remainder.
 func (w *world) spendAll() {
 	for _, r := range w.routers {
 		if !r.up || r.frozen {
 			continue
 		}
 		for _, name := range workspaces {
-			p := r.purse(name)
+			p := r.leaseOf(name)
 			if n := p.slice.Left(); n > 0 {
-				request := fmt.Sprint("last", w.next())
+				request := fmt.Sprint("last", w.nextID())
 				w.begin(r, name, request, n)
 				w.finish(r, name+"/"+request, int64(n), false)
 			}
@@ -368,6 +393,8 @@
 	}
 }
 
+// settleOnce restarts what is down, resends every open request, and runs all
+// timers, delivering the messages after each.
 func (w *world) settleOnce() {
 	for _, z := range w.zones {
 		if w.keepers[z].vault == nil {
@@ -385,14 +412,15 @@
 		for _, z := range w.zones {
 			f(w.keepers[z])
 		}
-		for len(w.pool) > 0 {
-			x := w.pool[0]
-			w.pool = w.pool[1:]
+		for len(w.inFlight) > 0 {
+			x := w.inFlight[0]
+			w.inFlight = w.inFlight[1:]
 			x.deliver()
 		}
 	}
 }
 
+// settleRouter starts a router if it is down and resends its open requests.
 func (w *world) settleRouter(r *routerNode) {
 	if r.frozen {
 		return
@@ -401,8 +429,8 @@
 		w.startRouter(r)
 	}
 	w.register(r)
-	for _, name := range slices.Sorted(maps.Keys(r.purses)) {
-		p := r.purses[name]
+	for _, name := range slices.Sorted(maps.Keys(r.leases)) {
+		p := r.leases[name]
 		if p.returning != nil {
 			w.giveBack(r, name, 0)
 		} else if p.asking != nil {
@@ -412,15 +440,16 @@
 	for _, id := range slices.Sorted(maps.Keys(r.runs)) {
 		w.finish(r, id, r.runs[id].charge.Tokens, false)
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.unsafe)) {
-		w.charge(r, id, r.unsafe[id], false)
+	for _, id := range slices.Sorted(maps.Keys(r.unmirrored)) {
+		w.charge(r, id, r.unmirrored[id], false)
 	}
 }
 
-// Symptom: a workspace spends more than it paid for, an answer is not billed,
-// or rights vanish. Sequence: any of lost, late, repeated and reordered
-// messages, cuts, crashes between any two steps, frozen and killed routers,
-// lost disks. Cause: whichever step of the protocol holds rights twice.
+// Guards against overspending, completed answers without a bill, and lost
+// rights. The faults are lost, late, repeated and reordered messages, network
+// partitions, crashes between any two steps, suspended and killed routers, and
+// lost disks. The test fails if any step of the protocol lets the same rights
+// be spent twice.
 func TestBooksHoldUnderFaults(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -430,12 +459,12 @@
 		m.Check(t)
 		m.checkSettled(t)
 		seen["runs"]++
-		for what, n := range m.seen {
+		for what, n := range m.counts {
 			seen[what] += n
 		}
 	})
 	t.Logf("seen: %v", seen)
-	if seen["runs"] < fullRun {
+	if seen["runs"] < ciChecks {
 		t.Logf("%d runs are too few to ask what they saw", seen["runs"])
 		return
 	}
--- a/budgeter/lease.go
+++ b/budgeter/lease.go
@@ -10,18 +10,21 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
+// incarnationKey returns the part of a row key that identifies a router's
+// incarnation.
 func incarnationKey(router string, incarnation uint64) string {
 	return router + "#" + strconv.FormatUint(incarnation, 10)
 }
 
-// outstanding is what a lease has granted and neither charged nor returned.
+// outstanding returns the rights of a lease that were granted and neither
+// charged nor returned.
 func outstanding(l *messenger.LeaseRow) rattanhoist.Tokens {
 	return rattanhoist.Tokens(l.GrantedTokens - l.ReturnedTokens - l.ChargedTokens)
 }
 
-// admit registers an incarnation that is the newest of its router, and
-// refuses one that may not spend any more.
-func (v *Vault) admit(router string, incarnation uint64) error {
+// admitIncarnation registers an incarnation if it is the newest of its router,
+// and returns ErrFenced if it may not spend any more.
+func (v *Vault) admitIncarnation(router string, incarnation uint64) error {
 	r := v.routers[router]
 	if r == nil {
 		r = &messenger.RouterRow{Router: router}
@@ -33,42 +36,46 @@
 	if incarnation == r.Incarnation {
 		return nil
 	}
-	// The earlier incarnations have ended, or a frozen one will find itself
-	// fenced when it goes on.
+	// Earlier incarnations have either ended or are suspended; a suspended one
+	// gets ErrFenced when it continues.
 	r.Incarnation, r.Fenced = incarnation, max(r.Fenced, r.Incarnation)
-	v.store(BucketRouters, router, r)
+	v.storeResident(BucketRouters, router, r)
 	return nil
 }
 
-func (v *Vault) fencedOut(router string, incarnation uint64) bool {
+// isFenced reports whether an incarnation of a router is fenced.
+func (v *Vault) isFenced(router string, incarnation uint64) bool {
 	r := v.routers[router]
 	return r != nil && incarnation <= r.Fenced
 }
 
-// unheard reports whether a restore still waits for what the router holds.
-func (v *Vault) unheard(router string, incarnation uint64) bool {
-	return v.self.Unproved && v.proved[router] != incarnation
+// awaitsHoldings reports whether a restored vault still waits for the router's
+// report of the rights that it holds.
+func (v *Vault) awaitsHoldings(router string, incarnation uint64) bool {
+	return v.self.Unproved && v.verified[router] != incarnation
 }
 
+// register admits an incarnation of a router.
 func (v *Vault) register(r *messenger.RegisterRequest) (proto.Message, error) {
-	if err := v.admit(r.Router, r.Incarnation); err != nil {
+	if err := v.admitIncarnation(r.Router, r.Incarnation); err != nil {
 		return nil, err
 	}
 	return &messenger.RegisterReply{VaultIncarnation: v.self.Incarnation, OldestChargeMs: v.self.OldestChargeMs}, nil
 }
 
+// lease grants up to the wanted number of unspent rights to a router.
 func (v *Vault) lease(r *messenger.LeaseRequest) (proto.Message, error) {
 	if r.WantTokens < 0 {
 		return nil, ErrAmount
 	}
-	if err := v.admit(r.Router, r.Incarnation); err != nil {
+	if err := v.admitIncarnation(r.Router, r.Incarnation); err != nil {
 		return nil, err
 	}
-	if v.unheard(r.Router, r.Incarnation) {
+	if v.awaitsHoldings(r.Router, r.Incarnation) {
 		return nil, ErrRepairing
 	}
-	b := v.touch(r.Workspace)
-	l := v.leaseOf(b, r.Router, r.Incarnation)
+	b := v.bookForUpdate(r.Workspace)
+	l := v.ensureLease(b, r.Router, r.Incarnation)
 	if r.Sequence <= l.Sequence {
 		return v.leaseReply(b, l, r.Sequence), nil
 	}
@@ -81,7 +88,8 @@
 	return v.leaseReply(b, l, r.Sequence), nil
 }
 
-// leaseReply gives a resent request its first answer.
+// leaseReply returns the answer to a lease request. A resent request gets its
+// first answer.
 func (v *Vault) leaseReply(b *book, l *messenger.LeaseRow, sequence uint64) *messenger.LeaseReply {
 	out := &messenger.LeaseReply{
 		ZoneLeftTokens: int64(b.unspent), TotalGrantedTokens: l.GrantedTokens, VaultIncarnation: v.self.Incarnation,
@@ -93,9 +101,10 @@
 	return out
 }
 
-// leaseOf returns the lease of an incarnation. A new one inherits nothing:
-// what the old one held stays outstanding under its own key until its release.
-func (v *Vault) leaseOf(b *book, router string, incarnation uint64) *messenger.LeaseRow {
+// ensureLease returns the lease of an incarnation and creates it if needed. A
+// new incarnation inherits no rights: those of the old one stay outstanding
+// under its own key until they are released.
+func (v *Vault) ensureLease(b *book, router string, incarnation uint64) *messenger.LeaseRow {
 	k := leaseKey{router, incarnation}
 	l := b.leases[k]
 	if l == nil {
@@ -105,18 +114,19 @@
 	return l
 }
 
-func (v *Vault) takeBack(r *messenger.ReturnRequest) (proto.Message, error) {
-	if v.unheard(r.Router, r.Incarnation) {
+// returnRights moves unspent rights of a lease back to the vault.
+func (v *Vault) returnRights(r *messenger.ReturnRequest) (proto.Message, error) {
+	if v.awaitsHoldings(r.Router, r.Incarnation) {
 		return nil, ErrRepairing
 	}
-	if v.fencedOut(r.Router, r.Incarnation) {
+	if v.isFenced(r.Router, r.Incarnation) {
 		return nil, ErrFenced
 	}
 	l := v.book(r.Workspace).leases[leaseKey{r.Router, r.Incarnation}]
 	if l == nil || r.Sequence <= l.Sequence {
 		return &messenger.ReturnReply{}, nil
 	}
-	b := v.touch(r.Workspace)
+	b := v.bookForUpdate(r.Workspace)
 	n := min(max(rattanhoist.Tokens(r.Tokens), 0), outstanding(l))
 	l.ReturnedTokens += int64(n)
 	l.Sequence, l.LastGrantTokens = r.Sequence, 0
@@ -126,7 +136,8 @@
 	return &messenger.ReturnReply{}, nil
 }
 
-// fence refuses the incarnations from now on; Release returns what is left.
+// fence refuses the router's incarnations from now on. The Release event
+// returns their unspent rights.
 func (v *Vault) fence(r *messenger.FenceRequest) (proto.Message, error) {
 	row := v.routers[r.Router]
 	if row == nil {
@@ -136,16 +147,16 @@
 	if r.Incarnation > row.Fenced {
 		row.Fenced = r.Incarnation
 		row.Incarnation = max(row.Incarnation, r.Incarnation)
-		v.store(BucketRouters, r.Router, row)
+		v.storeResident(BucketRouters, r.Router, row)
 	}
 	return &messenger.FenceReply{}, nil
 }
 
-// Fencing returns the routers that have incarnations whose remainder waits
-// for the witness.
+// UnreleasedRouters returns the routers with fenced incarnations whose unspent
+// rights can be returned only after the witness has fenced them too.
 func (v *Vault) Fencing() []*messenger.RouterRow {
 	var out []*messenger.RouterRow
-	for _, r := range inOrder(v.routers) {
+	for _, r := range sortedByKey(v.routers) {
 		if r.Released < r.Fenced {
 			out = append(out, r)
 		}
@@ -153,9 +164,9 @@
 	return out
 }
 
-// release bills what the witness had stored and returns the rest of every
-// fenced incarnation. A witness that may have lost charges proves nothing:
-// the remainder is withheld.
+// release bills the charges that the witness had stored and returns the
+// remaining rights of every fenced incarnation. If the witness may have lost
+// charges, the remaining rights are withheld because they may have been spent.
 func (v *Vault) release(e Release) (proto.Message, error) {
 	r := v.routers[e.Router]
 	upTo := e.Incarnation
@@ -174,26 +185,28 @@
 		}
 	}
 	r.Released = upTo
-	v.store(BucketRouters, r.Router, r)
+	v.storeResident(BucketRouters, r.Router, r)
 	return &messenger.FenceReply{ReturnedTokens: int64(total)}, nil
 }
 
+// endLease deletes a lease and returns the number of its outstanding rights.
+// They are withheld if charges may be lost, and credited otherwise.
 func (v *Vault) endLease(b *book, l *messenger.LeaseRow, lost bool) rattanhoist.Tokens {
-	v.touch(b.workspace)
+	v.bookForUpdate(b.workspace)
 	n := outstanding(l)
 	b.leased -= n
 	if lost {
 		b.withheld += n
 	} else {
-		v.addRights(b, n, v.self.Unproved)
+		v.creditOrFreeze(b, n, v.self.Unproved)
 	}
 	delete(b.leases, leaseKey{l.Router, l.Incarnation})
-	v.remove(BucketLeases, leaseRowKey(l))
+	v.deleteResident(BucketLeases, leaseRowKey(l))
 	return n
 }
 
-// Unfenced returns the newest incarnation of a router that is not fenced, or
-// 0.
+// UnfencedIncarnation returns the newest incarnation of a router, or 0 if it is
+// fenced.
 func (v *Vault) Unfenced(router string) uint64 {
 	r := v.routers[router]
 	if r == nil || r.Incarnation <= r.Fenced {
@@ -202,7 +215,8 @@
 	return r.Incarnation
 }
 
-// Lessees returns the routers that hold rights of a workspace.
+// RoutersWithLeases returns the sorted names of the routers that hold rights of
+// a workspace.
 func (v *Vault) Lessees(workspace string) []string {
 	b := v.books[workspace]
 	if b == nil {
@@ -218,6 +232,7 @@
 	return slices.Compact(out)
 }
 
-// Routers returns how many routers have leased rights here, ever: more than the
-// zone has where some were taken out of the settings.
+// RouterCount returns the number of routers that have ever registered or were
+// fenced here. It exceeds the number of the zone's routers if some were removed
+// from the settings.
 func (v *Vault) Routers() int { return len(v.routers) }
--- a/budgeter/slice_test.go
+++ b/budgeter/leased_budget_test.go
@@ -14,12 +14,12 @@
 	"rattanhoist.example/rattanhoist/budgeter"
 )
 
-// Symptom: a router spends more than it leased, or refuses although its
-// slice holds enough.
-// Sequence: many threads reserve, settle, grant and withdraw at once, with
-// sizes that make the slice spread out, run dry and gather again.
-// Cause: rights lost or doubled while they move between the counters.
-func TestConcurrentSpendingConserves(t *testing.T) {
+// Guards against a router that spends more than it leased, or refuses a request
+// although its budget holds enough. This happens if rights are lost or
+// duplicated while they move between counters. Many threads reserve, settle,
+// grant and withdraw at once, in sizes that make the budget distribute its
+// rights, run out and gather them again.
+func TestConcurrentSpendingConservesRights(t *testing.T) {
 	for seed := range uint64(8) {
 		g := gomega.NewWithT(t)
 		var s budgeter.Slice
@@ -61,14 +61,14 @@
 	}
 }
 
-// Symptom: two requests are refused although the slice could serve one.
-// Sequence: two threads sweep the stripes at the same time, each finds half.
-// Cause: sweeps that are not serialised.
+// Guards against the refusal of two requests although the budget could serve
+// one of them. This happens if two threads collect the rights of the stripes at
+// the same time without a lock, and each finds half of them.
 func TestRacingSweepsRefuseOnlyOne(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for range 200 {
 		var s budgeter.Slice
-		budgeter.SpreadForTest(&s, 16_000)
+		budgeter.GrantDistributedForTest(&s, 16_000)
 		var served atomic.Int64
 		var wg sync.WaitGroup
 		for range 8 {
@@ -93,7 +93,7 @@
 		var s budgeter.Slice
 		s.Grant(1 << 40)
 		if spread {
-			budgeter.SpreadForTest(&s, 1<<40)
+			budgeter.GrantDistributedForTest(&s, 1<<40)
 		}
 		n := testing.AllocsPerRun(1000, func() {
 			if s.Reserve(600) {
@@ -104,8 +104,8 @@
 	}
 }
 
-// BenchmarkReserveSettle is one request's part of the slice: a reservation
-// of the worst case and its settlement, on the same budget from all threads.
+// BenchmarkReserveSettle measures a reservation of the worst case and its
+// settlement, as made for each request, on one budget from all threads.
 func BenchmarkReserveSettle(b *testing.B) {
 	for _, threads := range []int{1, 2, 4, 8, 12} {
 		b.Run("threads_"+string(rune('0'+threads/10))+string(rune('0'+threads%10)), func(b *testing.B) {
--- a/budgeter/oracle_test.go
+++ b/budgeter/oracle_test.go
@@ -12,7 +12,7 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// dump tells a failure: the events of a workspace and the books.
+// dump returns the events of a workspace and its books, for failure messages.
 func (w *world) dump(workspace string) string {
 	var b strings.Builder
 	for _, line := range w.trace {
@@ -28,10 +28,11 @@
 	return b.String()
 }
 
-// counting returns the price of the bill that counts: the one told, or that
-// of another zone where the bill was reversed for it. The run there may have
-// ended before anybody was told its price.
-func (w *world) counting(zone, id string, told int64) int64 {
+// countingPrice returns the price of the bill that counts. This is the price
+// told to the caller or, if the bill was reversed for another zone, the price
+// of that zone's bill if lower. The run in that zone may have ended before any
+// caller was told its price.
+func (w *world) countingPrice(zone, id string, told int64) int64 {
 	c := w.bill(zone, id)
 	if c.GetReversedForZone() == "" {
 		return told
@@ -43,12 +44,12 @@
 	return min(told, other.Tokens)
 }
 
-// bill returns the bill of a request, also after it was pruned, or nil.
+// bill returns the bill of a request, even if it was pruned, or nil.
 func (w *world) bill(zone, id string) *messenger.Charge {
 	rows := w.keepers[zone].disk.rows
 	b := rows[rowName{budgeter.BucketCharges, id}]
 	if b == nil {
-		b = rows[rowName{bucketGone, id + "#0"}]
+		b = rows[rowName{bucketPrunedBills, id + "#0"}]
 	}
 	if b == nil {
 		return nil
@@ -56,20 +57,22 @@
 	return decodeCharge(b)
 }
 
-func (w *world) flat(workspace string) (paid, spent int64) {
+// paidAndSpent returns the tokens paid for a workspace and the price of its
+// completed answers.
+func (w *world) paidAndSpent(workspace string) (paid, spent int64) {
 	for _, r := range w.paid {
 		if r.Workspace == workspace {
 			paid += r.Tokens
 		}
 	}
-	// A request that ran in two zones is billed in one of them in the end.
+	// A request that ran in two zones is eventually billed in only one of them.
 	once := map[string]int64{}
 	for key, prices := range w.completed {
 		zone, id, _ := strings.Cut(key, "/")
 		if !strings.HasPrefix(id, workspace+"/") {
 			continue
 		}
-		price := w.counting(zone, id, slices.Min(prices))
+		price := w.countingPrice(zone, id, slices.Min(prices))
 		if least, known := once[id]; known {
 			price = min(price, least)
 		}
@@ -81,15 +84,15 @@
 	return paid, spent
 }
 
-// checkAgreement compares what routers and vaults say of each other's leases
-// when no call is open.
+// checkAgreement verifies that routers and vaults agree on the leases that have
+// no request in progress.
 func (w *world) checkAgreement() {
 	for _, r := range w.routers {
 		k := w.keepers[r.zone]
-		if k.lossy {
+		if k.mayLackAnswers {
 			continue
 		}
-		for name, p := range r.purses {
+		for name, p := range r.leases {
 			row := &messenger.LeaseRow{}
 			b, _ := k.disk.Get(budgeter.BucketLeases, fmt.Sprintf("%s/%s#%d", name, r.name, r.incarnation))
 			w.check(proto.Unmarshal(b, row) == nil, "lease row is corrupt")
@@ -99,10 +102,10 @@
 	}
 }
 
-// checkSettled verifies, after everything has arrived, that the books of all
-// zones balance with what was paid and that every whole answer is billed.
+// checkSettled verifies, after all messages have arrived, that the books of all
+// zones add up to what was paid and that every completed answer is billed.
 func (w *world) checkSettled(t *rapid.T) {
-	lossy := slices.ContainsFunc(w.zones, func(z string) bool { return w.keepers[z].lossy })
+	lossy := slices.ContainsFunc(w.zones, func(z string) bool { return w.keepers[z].mayLackAnswers })
 	withheld := false
 	for _, z := range w.zones {
 		withheld = withheld || w.keepers[z].vault.Unproved() || w.keepers[z].vault.Totals().WithheldTokens > 0
@@ -118,9 +121,9 @@
 			sum.ChargedTokens += b.ChargedTokens
 			sum.FrozenTokens += b.FrozenTokens
 			sum.LeasedTokens += b.LeasedTokens
-			// A debt is rights that a lost disk had taken back from one router
-			// and leased to another: the copy still has them under the first
-			// one, which is fenced, until its witness can be asked.
+			// A debt arises if a lost disk had taken rights back from one router
+			// and leased them to another. In the copy they still belong to the
+			// first router, which is fenced, until its witness can be asked.
 			if b.FrozenTokens < 0 && (!withheld || b.FrozenTokens+b.LeasedTokens < 0) {
 				t.Fatalf("zone %s workspace %s: a debt of %d remains\n%s", z, name, b.FrozenTokens, w.dump(name))
 			}
@@ -128,12 +131,12 @@
 				t.Fatalf("zone %s workspace %s: charges add up to %d, the book says %d", z, name, charged, b.ChargedTokens)
 			}
 		}
-		paid, _ := w.flat(name)
+		paid, _ := w.paidAndSpent(name)
 		if sum.MintedTokens != paid || sum.ChargedTokens+sum.FrozenTokens+sum.LeasedTokens != paid {
 			t.Fatalf("workspace %s: of %d paid, %d are minted and only %d could be spent\n%s", name, paid, sum.MintedTokens, sum.ChargedTokens, w.dump(name))
 		}
-		// A vault that nothing can prove any more keeps rights from being spent,
-		// and so does the witness that it would be: nothing else may.
+		// Rights may stay unspendable only if a vault can no longer be verified,
+		// or if it is the witness of another vault.
 		if sum.FrozenTokens+sum.LeasedTokens != 0 && !withheld {
 			t.Fatalf("workspace %s: %d frozen and %d leased though every vault is proved\n%s", name, sum.FrozenTokens, sum.LeasedTokens, w.dump(name))
 		}
@@ -152,6 +155,8 @@
 	}
 }
 
+// charges returns the sum of a workspace's bills in a zone, including pruned
+// and without reversed ones.
 func (w *world) charges(zone, workspace string) (sum int64) {
 	for n, value := range w.keepers[zone].disk.rows {
 		if n.bucket == budgeter.BucketCharges && strings.HasPrefix(n.key, workspace+"/") {
@@ -168,12 +173,13 @@
 	return sum
 }
 
-// checkBilledOnce verifies that of a request's bills in all zones one counts.
+// checkBilledOnce verifies that exactly one of a request's bills in all zones
+// counts.
 func (w *world) checkBilledOnce(t *rapid.T) {
 	count, rows := map[string]int{}, map[string]int{}
 	for _, z := range w.zones {
 		for n, value := range w.keepers[z].disk.rows {
-			if n.bucket != budgeter.BucketCharges && n.bucket != bucketGone {
+			if n.bucket != budgeter.BucketCharges && n.bucket != bucketPrunedBills {
 				continue
 			}
 			id, _, _ := strings.Cut(n.key, "#")
@@ -190,6 +196,8 @@
 	}
 }
 
+// checkBilled verifies that every completed answer is billed at a price that
+// was told to its caller.
 func (w *world) checkBilled(t *rapid.T) {
 	for key, prices := range w.completed {
 		zone, id, _ := strings.Cut(key, "/")
--- a/budgeter/prune.go
+++ b/budgeter/prune.go
@@ -6,35 +6,38 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// PruneMost bounds the bills, and the claims, that one step looks at.
+// MaxPrunedPerStep bounds the number of bills, and of claims, that one step
+// examines.
 const PruneMost = 256
 
-// Heard is what a router said of its own charges; see messenger.RecallReply.
+// RouterReport is a router's report about its own charges; see
+// messenger.RecallReply.
 type Heard struct {
 	Incarnation      uint64
 	AnsweredBeforeMs int64
 }
 
-// Prune moves the oldest charge that the vault takes forward, and deletes
-// bills and claims that nobody can ask for any more.
+// Prune advances the time of the oldest charge that the vault accepts, and
+// deletes bills and claims that can't be requested any more.
 //
-// A bill may go a retention after charges of its time can't arrive: every
-// incarnation that is not released has said that its charges of that time are
-// on two disks, and whoever repeats one is told that it is too old. So neither
-// a witness that hands over after a long cut, nor a message that was under way
-// for long, nor a restored router bills a request again.
+// A bill may be deleted one retention period after charges of its time can no
+// longer arrive. They can't arrive once every unreleased incarnation has
+// reported that its charges of that time are on two disks; a repeated charge is
+// then refused as too old. So a request is not billed again by a witness that
+// hands over its charges after a long network partition, by a message that was
+// delayed for long, or by a restored router.
 type Prune struct {
-	// Retention is longer than two runs of one request can be apart.
+	// Retention is longer than the maximum time between two runs of one request.
 	Retention time.Duration
-	// Heard maps routers of the zone to what they said.
+	// Reports maps routers of the zone to their reports.
 	Heard map[string]Heard
-	// OldestChargeMs is what Vault.OldestChargeMs returned before UnsettledMs
-	// was read: later bills are not older.
+	// OldestChargeMs is the result of Vault.OldestChargeMs before UnsettledMs
+	// was read. Bills made later are not older.
 	OldestChargeMs int64
 	// UnsettledMs is the time of the oldest bill whose claim is not settled, or
 	// math.MaxInt64; see the function UnsettledMs.
 	UnsettledMs int64
-	// Charges and Claims are keys of rows that may be old enough.
+	// Charges and Claims are keys of rows that may be old enough to delete.
 	Charges, Claims []string
 	// Zones are all availability zones of the deployment.
 	Zones []string
@@ -42,23 +45,25 @@
 
 func (Prune) isEvent() {}
 
-// OldestChargeMs returns the time before which no new charge is taken, in Unix
-// milliseconds.
+// OldestChargeMs returns the time before which no new charge is accepted, in
+// Unix milliseconds.
 func (v *Vault) OldestChargeMs() int64 { return v.self.OldestChargeMs }
 
-// Pruned returns how many bills and claims were pruned since the start.
+// Pruned returns the number of bills and claims deleted by pruning since the
+// start.
 func (v *Vault) Pruned() (charges, claims int64) { return v.prunedCharges, v.prunedClaims }
 
 // tooOld reports whether the bill of a charge may have been pruned.
 func (v *Vault) tooOld(c *messenger.Charge) bool { return c.ChargedAtMs < v.self.OldestChargeMs }
 
-// prune does nothing after a restore until it is proved what is missing: a
-// charge that only a router has yet may be older than the copy says.
+// prune handles the event Prune. It does nothing while a restore is unverified:
+// a charge that only a router has may be older than the oldest charge according
+// to the copy.
 func (v *Vault) prune(e Prune) {
 	if v.self.Unproved {
 		return
 	}
-	v.advance(e.Heard)
+	v.advanceOldestCharge(e.Heard)
 	limit := min(e.OldestChargeMs, v.self.OldestChargeMs, e.UnsettledMs) - e.Retention.Milliseconds()
 	for _, key := range e.Charges[:min(len(e.Charges), PruneMost)] {
 		v.pruneCharge(key, limit)
@@ -69,9 +74,10 @@
 	}
 }
 
-// advance waits for every incarnation that may still bring a charge, itself or
-// by the witness: one that is not released and has not said otherwise.
-func (v *Vault) advance(heard map[string]Heard) {
+// advanceOldestCharge advances the time of the oldest accepted charge. It does
+// nothing while an incarnation may still send older charges, itself or through
+// the witness: one that is fenced and not released, or whose report is missing.
+func (v *Vault) advanceOldestCharge(heard map[string]Heard) {
 	oldest := v.nowMs
 	for name, r := range v.routers {
 		if r.Released >= r.Incarnation {
@@ -89,16 +95,17 @@
 	}
 }
 
-// pruneCharge moves a bill into the sum of its day.
+// pruneCharge deletes a bill that is older than limit and adds it to the sum of
+// its day.
 func (v *Vault) pruneCharge(key string, limit int64) {
 	c := &messenger.Charge{}
-	known, err := v.find(BucketCharges, key, c)
+	known, err := v.lookup(BucketCharges, key, c)
 	if err != nil || !known || c.ChargedAtMs >= limit {
 		return
 	}
 	day := time.UnixMilli(c.ChargedAtMs).UTC().Format(time.DateOnly)
 	sum := &messenger.PrunedRow{}
-	if _, err := v.find(BucketPruned, c.Workspace+"/"+day, sum); err != nil {
+	if _, err := v.lookup(BucketPruned, c.Workspace+"/"+day, sum); err != nil {
 		return
 	}
 	sum.Workspace, sum.Day, sum.Zone = c.Workspace, day, v.zone
@@ -109,31 +116,33 @@
 		sum.ReversedCount++
 		sum.ReversedTokens += c.Tokens
 	}
-	v.put(BucketPruned, c.Workspace+"/"+day, sum)
-	v.drop(BucketCharges, key)
+	v.storeOnDisk(BucketPruned, c.Workspace+"/"+day, sum)
+	v.deleteOnDisk(BucketCharges, key)
 	v.prunedCharges++
 }
 
-// settledEverywhere returns the time before which no zone has a bill without
-// a settled claim: a claim must outlive every bill that may ask for it.
+// settledEverywhere returns the time before which every zone has settled the
+// claims of its bills. A claim must outlive every bill that may request it.
 func (v *Vault) settledEverywhere(zones []string) int64 {
 	oldest := v.nowMs
 	for _, z := range zones {
-		oldest = min(oldest, v.settled[z])
+		oldest = min(oldest, v.settledBeforeMs[z])
 	}
 	return oldest
 }
 
+// pruneClaim deletes a claim that is older than limit. A claim without a time
+// gets the current one.
 func (v *Vault) pruneClaim(key string, limit int64) {
 	row := &messenger.ClaimedRow{}
-	known, err := v.find(BucketClaimed, key, row)
+	known, err := v.lookup(BucketClaimed, key, row)
 	switch {
 	case err != nil || !known:
 	case row.ClaimedAtMs == 0:
 		row.ClaimedAtMs = v.nowMs
-		v.put(BucketClaimed, key, row)
+		v.storeOnDisk(BucketClaimed, key, row)
 	case row.ClaimedAtMs < limit:
-		v.drop(BucketClaimed, key)
+		v.deleteOnDisk(BucketClaimed, key)
 		v.prunedClaims++
 	}
 }
--- a/budgeter/prune_test.go
+++ b/budgeter/prune_test.go
@@ -14,26 +14,29 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Times of the fuzzed world in milliseconds, one for each step. Two charges of
-// one request are at most window + runMost and two skews apart.
+// Times of the simulated deployment in milliseconds; each step takes one. Two
+// charges of one request are at most requestWindowMs + maxRunMs and two clock
+// skews apart.
 const (
-	window    = 80
-	runMost   = 40
-	skewMost  = 5
-	retention = window + runMost + 4*skewMost
+	requestWindowMs = 80
+	maxRunMs        = 40
+	maxSkewMs       = 5
+	retentionMs     = requestWindowMs + maxRunMs + 4*maxSkewMs
 )
 
-// Wait lets much time pass: cuts and freezes outlast the retention.
+// Wait advances the clock so far that partitions and suspensions outlast the
+// retention period.
 func (m machine) Wait(t *rapid.T) {
 	rarely(t)
-	m.clock += 2 * retention
+	m.clock += 2 * retentionMs
 }
 
-// clock is the time of a new charge; a clock that is behind what was told
-// makes none of an earlier time.
+// clock returns the time of a new charge. It never returns a time before the
+// one that the router has reported, even if its clock is behind.
 func (r *routerNode) clock(w *world) int64 { return max(w.clock+r.skew, r.earliest) }
 
-// answeredBefore is the router's promise; see treasurer.Outbox.
+// answeredBefore returns the time before which the router promises to send no
+// more charges; see treasurer.Outbox.
 func (r *routerNode) answeredBefore(w *world) int64 {
 	out := r.clock(w)
 	for _, x := range r.runs {
@@ -41,7 +44,7 @@
 			out = min(out, x.charge.ChargedAtMs)
 		}
 	}
-	for _, c := range r.unsafe {
+	for _, c := range r.unmirrored {
 		out = min(out, c.ChargedAtMs)
 	}
 	if r.pinned != 0 {
@@ -51,6 +54,7 @@
 	return out
 }
 
+// keys returns the sorted keys of a bucket on the keeper's disk.
 func (k *keeper) keys(bucket string) (out []string) {
 	for n := range k.disk.rows {
 		if n.bucket == bucket {
@@ -61,7 +65,7 @@
 	return out
 }
 
-// unsettled is the time of the oldest bill whose claim is not settled.
+// unsettled returns the time of the oldest bill whose claim is not settled.
 func (k *keeper) unsettled() int64 {
 	if keys := k.keys(budgeter.BucketUnclaimed); len(keys) > 0 {
 		return budgeter.UnsettledMs(keys[0])
@@ -69,7 +73,8 @@
 	return math.MaxInt64
 }
 
-// prune hears the routers, tells the zones what is settled, and prunes.
+// prune collects the reports of the routers, tells the zones which claims are
+// settled, and prunes.
 func (w *world) prune(k *keeper) {
 	if k.vault == nil || k.copier.Mode() != budgeter.ModePaired {
 		return
@@ -85,19 +90,21 @@
 	}
 	charges, claims := k.keys(budgeter.BucketCharges), k.keys(budgeter.BucketClaimed)
 	w.commit(k, budgeter.Prune{
-		Retention: retention * time.Millisecond, Heard: maps.Clone(k.heard),
+		Retention: retentionMs * time.Millisecond, Heard: maps.Clone(k.heard),
 		OldestChargeMs: k.vault.OldestChargeMs(), UnsettledMs: k.unsettled(),
 		Charges: charges, Claims: claims, Zones: w.zones,
 	})
-	w.seen["pruned"] += len(charges) - len(k.keys(budgeter.BucketCharges))
-	w.seen["claim pruned"] += max(len(claims)-len(k.keys(budgeter.BucketClaimed)), 0)
+	w.counts["pruned"] += len(charges) - len(k.keys(budgeter.BucketCharges))
+	w.counts["claim pruned"] += max(len(claims)-len(k.keys(budgeter.BucketClaimed)), 0)
 	for n, b := range k.disk.rows {
-		if n.bucket == bucketGone && decodeCharge(b).ReversedForZone != "" {
-			w.seen["pruned reversed"]++
+		if n.bucket == bucketPrunedBills && decodeCharge(b).ReversedForZone != "" {
+			w.counts["pruned reversed"]++
 		}
 	}
 }
 
+// tellSettled tells every reachable zone the time before which this zone's
+// claims are settled.
 func (w *world) tellSettled(k *keeper) {
 	settled := min(k.vault.OldestChargeMs(), k.unsettled())
 	for _, z := range w.zones {
@@ -107,7 +114,8 @@
 	}
 }
 
-// deliverLate brings messages from before bills were pruned.
+// deliverLate delivers duplicates of messages that were sent before bills were
+// pruned.
 func (w *world) deliverLate() {
 	late := w.late
 	w.late = nil
@@ -118,24 +126,26 @@
 	}
 }
 
+// Late delivers the delayed duplicates.
 func (m machine) Late(t *rapid.T) {
 	rarely(t)
 	m.deliverLate()
 }
 
-// Work runs a request at a router, half of the time at one of another zone too,
-// and delivers what comes of it. Two runs in one zone, one of them witnessed,
-// may be told two prices; so a request that others run too has no witness.
+// Work runs a request at a router, and half of the time also at a router of
+// another zone, and delivers the resulting messages. Two runs in one zone, one
+// of them witnessed, may be told different prices, so a request with several
+// runs has no witness.
 func (m machine) Work(t *rapid.T) {
 	name, witness := workspace(t), rapid.IntRange(0, 2).Draw(t, "witness") == 0
-	id := fmt.Sprint("s", rapid.SampledFrom(requests).Draw(t, "request"), "@", m.clock/window)
+	id := fmt.Sprint("s", rapid.SampledFrom(requests).Draw(t, "request"), "@", m.clock/requestWindowMs)
 	if witness {
-		id = fmt.Sprint("u", m.next())
+		id = fmt.Sprint("u", m.nextID())
 	}
 	zone := ""
 	for range rapid.IntRange(1, 2).Draw(t, "runs") {
-		r := m.pick(t, func(r *routerNode) bool { return r.purse(name).slice.Left() > 0 && r.zone != zone })
-		m.begin(r, name, id, min(rattanhoist.Tokens(amount(t, 40)), r.purse(name).slice.Left()))
+		r := m.pick(t, func(r *routerNode) bool { return r.leaseOf(name).slice.Left() > 0 && r.zone != zone })
+		m.begin(r, name, id, min(rattanhoist.Tokens(amount(t, 40)), r.leaseOf(name).slice.Left()))
 		m.finish(r, name+"/"+id, amount(t, 40), witness)
 		zone = r.zone
 	}
@@ -144,7 +154,7 @@
 	}
 }
 
-// Fund pays for a zone and leases to its routers.
+// Fund tops up a zone and leases rights to all running routers.
 func (m machine) Fund(t *rapid.T) {
 	m.TopUp(t)
 	for _, r := range m.routers {
@@ -155,7 +165,7 @@
 	m.flush(t)
 }
 
-// fundAll gives a router of every zone something to spend.
+// fundAll tops up every zone and leases rights to all running routers.
 func (m machine) fundAll() {
 	for _, z := range m.zones {
 		id := z + "/3"
@@ -171,31 +181,32 @@
 	}
 }
 
-// LongCut cuts two zones for longer than bills are kept, while a request runs
-// in all of them.
+// LongCut partitions two zones for longer than bills are kept, while a request
+// runs in all zones.
 func (m machine) LongCut(t *rapid.T) {
 	rarely(t)
 	m.fundAll()
 	m.flush(t)
 	c := rapid.SampledFrom([][2]string{{"a", "b"}, {"a", "c"}, {"b", "c"}}).Draw(t, "zones")
 	m.cut[c] = true
-	id := fmt.Sprint("s", m.next())
+	id := fmt.Sprint("s", m.nextID())
 	for _, r := range m.routers {
-		if r.up && !r.frozen && r.sharesVM && r.purse("w").slice.Left() > 0 {
+		if r.up && !r.frozen && r.sharesVM && r.leaseOf("w").slice.Left() > 0 {
 			m.begin(r, "w", id, 1)
 			m.finish(r, "w/"+id, 1, false)
 		}
 	}
 	m.flush(t)
-	m.pruneAll(2 * retention)
+	m.pruneAll(2 * retentionMs)
 	if rapid.Bool().Draw(t, "heal") {
 		m.cut[c] = false
-		// The zones hear of each other before the claims that waited are made.
+		// The zones exchange their settled times before the delayed claims are
+		// made.
 		m.pruneTwice()
 	}
 }
 
-// pruneAll settles what it can, lets time pass, and prunes.
+// pruneAll settles all possible claims, advances the clock, and prunes.
 func (w *world) pruneAll(later int64) {
 	for _, z := range w.zones {
 		w.claim(w.keepers[z])
@@ -204,7 +215,8 @@
 	w.pruneTwice()
 }
 
-// pruneTwice moves the oldest charge forward and then prunes up to it.
+// pruneTwice prunes twice: the first run advances the time of the oldest
+// charge, the second prunes up to it.
 func (w *world) pruneTwice() {
 	for range 2 {
 		for _, z := range w.zones {
@@ -213,13 +225,13 @@
 	}
 }
 
-// Restart ends a router whose charge only the witness has.
+// Restart restarts a router whose charge is stored only by the witness.
 func (m machine) Restart(t *rapid.T) {
 	rarely(t)
 	name := workspace(t)
-	r := m.pick(t, func(r *routerNode) bool { return r.purse(name).slice.Left() > 0 })
-	id := fmt.Sprint("u", m.next())
-	m.begin(r, name, id, r.purse(name).slice.Left())
+	r := m.pick(t, func(r *routerNode) bool { return r.leaseOf(name).slice.Left() > 0 })
+	id := fmt.Sprint("u", m.nextID())
+	m.begin(r, name, id, r.leaseOf(name).slice.Left())
 	m.finish(r, name+"/"+id, amount(t, 40), true)
 	m.flush(t)
 	m.startRouter(r)
@@ -229,15 +241,15 @@
 	m.prune(m.keepers[r.zone])
 }
 
-// Twice runs a request at two routers of one zone. The second run is a caller's
-// repetition, or one that outlasts the bill of the first.
+// Twice runs a request at two routers of one zone. The second run is either a
+// caller's retry or one that outlasts the bill of the first.
 func (m machine) Twice(t *rapid.T) {
 	rarely(t)
 	m.fundAll()
 	m.flush(t)
-	pair, id := m.zoneRouters(m.keeper(t).zone), fmt.Sprint("s", m.next())
+	pair, id := m.zoneRouters(m.keeper(t).zone), fmt.Sprint("s", m.nextID())
 	for _, r := range pair {
-		if !r.up || r.frozen || r.purse("w").slice.Left() < 2 {
+		if !r.up || r.frozen || r.leaseOf("w").slice.Left() < 2 {
 			t.Skip("no two routers")
 		}
 	}
@@ -249,23 +261,24 @@
 	m.finish(pair[0], "w/"+id, 1, false)
 	m.flush(t)
 	if lingers {
-		m.pruneAll(2 * retention)
+		m.pruneAll(2 * retentionMs)
 	} else {
-		m.pruneAll(3 * skewMost)
+		m.pruneAll(3 * maxSkewMs)
 		m.begin(pair[1], "w", id, 2)
 	}
 	m.finish(pair[1], "w/"+id, 1, false)
 	m.flush(t)
 }
 
-// bucketGone keeps the bills that were pruned, for the oracle: the flat book
-// forgets nothing. It travels with copies and restores like other rows.
-const bucketGone = "gone"
+// bucketPrunedBills keeps the pruned bills for the checks, which need every
+// bill. It is copied and restored like other buckets.
+const bucketPrunedBills = "gone"
 
-func keepGone(rows map[rowName][]byte, key string) {
+// keepPrunedBill saves a bill that is about to be deleted.
+func keepPrunedBill(rows map[rowName][]byte, key string) {
 	bill := rows[rowName{budgeter.BucketCharges, key}]
 	for n := 0; bill != nil; n++ {
-		name := rowName{bucketGone, fmt.Sprintf("%s#%d", key, n)}
+		name := rowName{bucketPrunedBills, fmt.Sprintf("%s#%d", key, n)}
 		if rows[name] == nil {
 			rows[name] = bill
 			return
--- a/budgeter/restart_test.go
+++ b/budgeter/restart_test.go
@@ -11,7 +11,7 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// stepOn steps an event, syncs its rows to the disk and returns its reply.
+// stepOn handles an event, syncs its rows to the disk and returns its reply.
 func stepOn(d *disk, v *budgeter.Vault, e budgeter.Event) (out budgeter.Reply) {
 	var writes []budgeter.Write
 	for _, a := range v.Step(time.Time{}, e) {
@@ -27,7 +27,7 @@
 	return out
 }
 
-// restart returns the vault that a keeper finds on its disk.
+// restart returns a vault restored from the rows on a keeper's disk.
 func restart(g *gomega.WithT, d *disk) *budgeter.Vault {
 	v := budgeter.NewVault("a", d)
 	for n, value := range d.rows {
@@ -43,6 +43,7 @@
 	askEvent   = budgeter.Ask{Request: &messenger.AskRequest{Workspace: "w", Zone: "b", WantTokens: 1}}
 )
 
+// funded returns a vault with a top-up and a lease, and its disk.
 func funded() (*disk, *budgeter.Vault) {
 	d := newDisk()
 	v := budgeter.NewVault("a", d)
@@ -52,9 +53,9 @@
 	return d, v
 }
 
-// Symptom: rights are stranded until a router restarts. Sequence: a lease is
-// answered, the answer is lost, the keeper restarts, the router asks again.
-// Cause: a lease row without its last grant.
+// Guards against rights that stay unusable until a router restarts. The answer
+// to a lease request is lost, the keeper restarts and the router repeats its
+// request. The fault occurs if the lease row does not store the last grant.
 func TestRestartedVaultRepeatsTheLastGrant(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d, _ := funded()
@@ -63,10 +64,10 @@
 	g.Expect([]int64{got.GrantedTokens, got.TotalGrantedTokens, v.Unspent("w")}).To(gomega.Equal([]int64{40, 40, 60}))
 }
 
-// Symptom: a transfer is taken for one that was received before, and its
-// rights vanish. Sequence: give, crash, give; or give, lose the disk, give.
-// Cause: a transfer number that is stored later than the transfer, or that
-// starts again with an empty disk.
+// Guards against lost rights because a transfer is mistaken for one that was
+// received before. A transfer is followed by a crash or the loss of the disk,
+// and by another transfer. The fault occurs if the transfer number is stored
+// later than the transfer, or restarts with an empty disk.
 func TestTransferIdentitiesAreUsedOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d, v := funded()
@@ -87,8 +88,9 @@
 	give()
 }
 
-// Symptom: a keeper grants rights that nobody paid for. Sequence: a book's row
-// on the disk is older than its leases. Cause: a start that believes the rows.
+// Guards against a keeper that grants rights nobody has paid for. The row of a
+// book on the disk is older than its leases. The fault occurs if the keeper
+// starts without checking its rows.
 func TestBooksThatDoNotBalanceAreRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d, v := funded()
@@ -102,9 +104,10 @@
 	g.Expect(torn.Check()).To(gomega.MatchError(budgeter.ErrCorrupt))
 }
 
-// Symptom: a restored zone spends rights twice. Sequence: 60 are unspent in
-// the copy; the lost disk had leased 30 more without its mirror. Cause: a
-// vault that grants before its routers have said what they hold.
+// Guards against a restored zone that spends rights twice. In the copy, 60
+// rights are unspent, of which the lost disk had leased 30 without its mirror.
+// The fault occurs if the vault grants rights before its routers have reported
+// what they hold.
 func TestRestoredVaultWaitsForItsRouters(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d, v := funded()
--- a/budgeter/router_test.go
+++ b/budgeter/router_test.go
@@ -13,15 +13,17 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
+// startRouter starts a new incarnation of a router, without any rights.
 func (w *world) startRouter(r *routerNode) {
 	*r = routerNode{
-		name: r.name, zone: r.zone, sharesVM: r.sharesVM, up: true, incarnation: w.next(),
-		skew:   int64(w.next()%(2*skewMost+1)) - skewMost,
-		purses: map[string]*purse{}, runs: map[string]*run{}, unsafe: map[string]*messenger.Charge{},
+		name: r.name, zone: r.zone, sharesVM: r.sharesVM, up: true, incarnation: w.nextID(),
+		skew:   int64(w.nextID()%(2*maxSkewMs+1)) - maxSkewMs,
+		leases: map[string]*routerLease{}, runs: map[string]*run{}, unmirrored: map[string]*messenger.Charge{},
 	}
 	w.register(r)
 }
 
+// register announces a router's incarnation to its keeper.
 func (w *world) register(r *routerNode) {
 	m := &messenger.RegisterRequest{Router: r.name, Incarnation: r.incarnation, Zone: r.zone}
 	w.send(r.zone, r.zone, func() {
@@ -30,30 +32,31 @@
 			r.registered = true
 			r.earliest = max(r.earliest, got.(*messenger.RegisterReply).OldestChargeMs)
 		}
-		// A router that learns that it is fenced starts anew.
+		// A router restarts when it learns that it is fenced.
 		if errors.Is(err, budgeter.ErrFenced) && r.alive(m.Incarnation) {
 			w.startRouter(r)
 		}
 	})
 }
 
-func (r *routerNode) purse(workspace string) *purse {
-	p := r.purses[workspace]
+// leaseOf returns the router's lease of a workspace and creates it if needed.
+func (r *routerNode) leaseOf(workspace string) *routerLease {
+	p := r.leases[workspace]
 	if p == nil {
-		p = &purse{}
-		r.purses[workspace] = p
+		p = &routerLease{}
+		r.leases[workspace] = p
 	}
 	return p
 }
 
-// alive reports whether a message for an incarnation still finds it.
+// alive reports whether the router still runs the given incarnation.
 func (r *routerNode) alive(incarnation uint64) bool {
 	return r.up && !r.frozen && r.incarnation == incarnation
 }
 
-// lease asks for rights, or resends the request that has no answer yet.
+// lease requests rights, or resends the request that is not answered yet.
 func (w *world) lease(r *routerNode, workspace string, n int64) {
-	p := r.purse(workspace)
+	p := r.leaseOf(workspace)
 	if p.returning != nil {
 		return
 	}
@@ -71,24 +74,26 @@
 		if got == nil || err != nil {
 			return
 		}
-		w.seen["granted"] += int(got.(*messenger.LeaseReply).GrantedTokens)
+		w.counts["granted"] += int(got.(*messenger.LeaseReply).GrantedTokens)
 		w.send(r.zone, r.zone, func() { r.leased(m, got.(*messenger.LeaseReply)) })
 	})
 }
 
+// leased applies the answer to a lease request. It ignores answers of a vault
+// incarnation older than the one that the router has reported its holdings to.
 func (r *routerNode) leased(m *messenger.LeaseRequest, got *messenger.LeaseReply) {
-	if !r.alive(m.Incarnation) || r.purse(m.Workspace).asking != m || got.VaultIncarnation < r.toldIncarnation {
+	if !r.alive(m.Incarnation) || r.leaseOf(m.Workspace).asking != m || got.VaultIncarnation < r.reportedToIncarnation {
 		return
 	}
-	p := r.purse(m.Workspace)
+	p := r.leaseOf(m.Workspace)
 	p.asking = nil
 	p.granted += got.GrantedTokens
 	p.slice.Grant(rattanhoist.Tokens(got.GrantedTokens))
 }
 
-// giveBack returns rights, or resends the return that has no answer yet.
+// giveBack returns rights, or resends the return that is not answered yet.
 func (w *world) giveBack(r *routerNode, workspace string, n rattanhoist.Tokens) {
-	p := r.purse(workspace)
+	p := r.leaseOf(workspace)
 	if p.asking != nil {
 		return
 	}
@@ -114,28 +119,30 @@
 	})
 }
 
-// begin starts a run of a request; finish ends it with its true cost.
+// begin starts a run of a request and reserves its worst-case cost; finish ends
+// the run with the actual cost.
 func (w *world) begin(r *routerNode, workspace, request string, worst rattanhoist.Tokens) {
 	id := workspace + "/" + request
-	// A run whose request has a charge in the outbox makes no charge of its own.
-	if r.runs[id] != nil || r.unsafe[id] != nil || !r.purse(workspace).slice.Reserve(worst) {
+	// A request with a charge in the outbox makes no other charge.
+	if r.runs[id] != nil || r.unmirrored[id] != nil || !r.leaseOf(workspace).slice.Reserve(worst) {
 		return
 	}
 	r.runs[id] = &run{reserved: worst, begun: w.clock, charge: &messenger.Charge{Workspace: workspace, RequestId: request, Zone: r.zone}}
 }
 
-// finish sends the charge of a run, to the witness where asked so, or sends
-// it again.
+// finish ends a run and sends its charge to the keeper or to the witness. For a
+// finished run it resends the charge.
 func (w *world) finish(r *routerNode, id string, tokens int64, witness bool) {
 	x := r.runs[id]
 	if x == nil {
 		return
 	}
-	if !x.finished && w.clock-x.begun > runMost {
-		// Another router may have run the request since, and that bill gone.
+	if !x.finished && w.clock-x.begun > maxRunMs {
+		// Another router may have run the request in the meantime, and its bill
+		// may be pruned.
 		delete(r.runs, id)
-		r.purse(x.charge.Workspace).slice.Settle(x.reserved, 0)
-		w.seen["ran too long"]++
+		r.leaseOf(x.charge.Workspace).slice.Settle(x.reserved, 0)
+		w.counts["ran too long"]++
 		return
 	}
 	if !x.finished {
@@ -146,10 +153,12 @@
 	w.charge(r, id, x.charge, witness)
 }
 
+// charge sends a charge to the keeper or to the witness. Every third time, a
+// duplicate is kept for deliverLate.
 func (w *world) charge(r *routerNode, id string, c *messenger.Charge, witness bool) {
-	// Of two runs in one zone the keeper bills one; had the other been completed
-	// by the witness, its caller was told another price. Requests of Work that
-	// others run too have no witness.
+	// The keeper bills only one of two runs in a zone. If the witness completed
+	// the other, its caller was told another price. So requests of Work with
+	// several runs have no witness.
 	witness = witness && !strings.HasPrefix(c.RequestId, "s")
 	k, inc := w.keepers[r.zone], r.incarnation
 	m := &messenger.ChargeRequest{Router: r.name, Incarnation: inc, Charges: []*messenger.Charge{c}, Zone: r.zone}
@@ -167,23 +176,24 @@
 	}
 	w.send(r.zone, k.zone, deliver)
 	if len(w.trace)%3 == 0 {
-		w.late = append(w.late, envelope{r.zone, k.zone, deliver})
+		w.late = append(w.late, message{r.zone, k.zone, deliver})
 	}
 }
 
-// charged completes an answer once its charge is durable, and not otherwise.
+// charged handles the answer to a charge. It completes the caller's answer only
+// if the charge is durable.
 func (w *world) charged(r *routerNode, incarnation uint64, id string, c *messenger.Charge, got *messenger.ChargeReply, witness bool) {
 	if !r.alive(incarnation) {
 		return
 	}
 	if got.Results[0].State == messenger.ChargeState_CHARGE_STATE_TOO_OLD {
-		w.seen["too old"]++
-		waits := r.unsafe[id] == c || r.runs[id] != nil && r.runs[id].charge == c
+		w.counts["too old"]++
+		waits := r.unmirrored[id] == c || r.runs[id] != nil && r.runs[id].charge == c
 		w.check(!waits, "a charge that its router has no answer for is too old")
 		return
 	}
 	if got.TwoDisks && !witness {
-		delete(r.unsafe, id)
+		delete(r.unmirrored, id)
 	}
 	x := r.runs[id]
 	if x == nil {
@@ -191,18 +201,19 @@
 	}
 	delete(r.runs, id)
 	res := got.Results[0]
-	p := r.purse(x.charge.Workspace)
+	p := r.leaseOf(x.charge.Workspace)
 	if res.State != messenger.ChargeState_CHARGE_STATE_BILLED {
-		w.seen[res.State.String()]++
-		// Only a lost disk can make a router and its vault differ.
-		w.check(res.State != messenger.ChargeState_CHARGE_STATE_NOT_LEASED || w.keepers[r.zone].lossy, "a leased charge is refused")
+		w.counts[res.State.String()]++
+		// A router and its vault can disagree only after the loss of a disk.
+		w.check(res.State != messenger.ChargeState_CHARGE_STATE_NOT_LEASED || w.keepers[r.zone].mayLackAnswers, "a leased charge is refused")
 		if r.pinned == 0 || x.charge.ChargedAtMs < r.pinned {
 			r.pinned = x.charge.ChargedAtMs
 		}
 		p.slice.Settle(x.reserved, 0)
-		// A fenced incarnation spends nothing more: its charge may have been
-		// witnessed before the refusal, so what it reserved is not free. Freed
-		// rights went through the witness a second time and left a debt.
+		// A fenced incarnation must not spend any more. Its charge may have been
+		// witnessed before the refusal, so its reserved rights are not free. When
+		// they were freed, they were spent a second time through the witness and
+		// left a debt.
 		if res.State == messenger.ChargeState_CHARGE_STATE_FENCED {
 			w.startRouter(r)
 		}
@@ -210,32 +221,34 @@
 	}
 	p.slice.Settle(x.reserved, rattanhoist.Tokens(res.SpentTokens))
 	if !got.TwoDisks || witness {
-		// What is kept is the bill, not this run's count: a second run of the
-		// request that cost less would otherwise replace it, and after a lost
-		// disk the request would be billed at less than its callers were told.
+		// The router keeps the billed amount, not the cost of this run. Otherwise
+		// a cheaper second run of the request would replace it, and after the
+		// loss of a disk the request would be billed below the price that its
+		// callers were told.
 		kept := proto.CloneOf(x.charge)
 		kept.Tokens = res.BilledTokens
-		if old := r.unsafe[id]; old != nil {
+		if old := r.unmirrored[id]; old != nil {
 			kept.ChargedAtMs = min(kept.ChargedAtMs, old.ChargedAtMs)
 		}
-		r.unsafe[id] = kept
+		r.unmirrored[id] = kept
 	}
-	w.note("%s#%d completes %s for %d", r.name, r.incarnation, id, res.BilledTokens)
+	w.traceEvent("%s#%d completes %s for %d", r.name, r.incarnation, id, res.BilledTokens)
 	w.completed[r.zone+"/"+id] = append(w.completed[r.zone+"/"+id], res.BilledTokens)
-	w.seen["completed"]++
+	w.counts["completed"]++
 	if witness {
-		w.seen["completed by witness"]++
+		w.counts["completed by witness"]++
 	}
 }
 
+// holdings returns the router's report to a restored vault.
 func (r *routerNode) holdings(vault uint64) *messenger.HoldingsReply {
-	r.toldIncarnation = vault
+	r.reportedToIncarnation = vault
 	out := &messenger.HoldingsReply{
 		Router: r.name, Incarnation: r.incarnation,
 		VaultIncarnation: r.markIncarnation, SoloCommit: r.markFrom,
 	}
-	for _, name := range slices.Sorted(maps.Keys(r.purses)) {
-		p := r.purses[name]
+	for _, name := range slices.Sorted(maps.Keys(r.leases)) {
+		p := r.leases[name]
 		answered := p.sequence
 		if p.asking != nil || p.returning != nil {
 			answered--
@@ -244,8 +257,8 @@
 			Workspace: name, Sequence: answered, GrantedTokens: p.granted, ReturnedTokens: p.returned,
 		})
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.unsafe)) {
-		out.Charges = append(out.Charges, r.unsafe[id])
+	for _, id := range slices.Sorted(maps.Keys(r.unmirrored)) {
+		out.Charges = append(out.Charges, r.unmirrored[id])
 	}
 	return out
 }
--- a/budgeter/rows.go
+++ b/budgeter/rows.go
@@ -32,8 +32,8 @@
 	BucketPruned,
 }
 
-// Resident lists the buckets that Restore must be given; the rows of the
-// others are looked up when needed.
+// ResidentBuckets lists the buckets whose rows are kept in memory; Restore must
+// get all of them. Rows of the other buckets are read from disk when needed.
 var Resident = []string{
 	BucketVault, BucketBooks, BucketLeases, BucketTransfers,
 	BucketRouters, BucketWitnessed, BucketRefused, BucketMarks,
@@ -42,42 +42,47 @@
 // vaultKey is the key of the only row of BucketVault.
 const vaultKey = "vault"
 
-// Rows looks up synced rows. A missing row is nil without an error.
+// Rows reads synced rows. For a missing row it returns nil without an error.
 type Rows interface {
 	Get(bucket, key string) ([]byte, error)
 }
 
-// rowKey names a row.
+// rowKey identifies a row.
 type rowKey struct{ bucket, key string }
 
-// recentMost is how many rows one generation of recent rows holds.
-const recentMost = 4096
+// maxRecentRows is the number of rows at which a generation of recent rows is
+// replaced.
+const maxRecentRows = 4096
 
-// recent holds the rows that were written lately, so that a step sees rows
-// which are not synced yet. Two generations bound it: a row is dropped only
-// after Synced has been called since it was written.
-type recent struct {
-	now, before map[rowKey][]byte
+// recentRows holds recently written rows, so that a step sees rows that are not
+// synced yet. Its size is bounded by two generations. A row is dropped only
+// after Synced was called at least once since it was written.
+type recentRows struct {
+	current, previous map[rowKey][]byte
 }
 
-func (r *recent) put(k rowKey, value []byte) { r.now[k] = value }
+func (r *recentRows) put(k rowKey, value []byte) { r.current[k] = value }
 
-func (r *recent) get(k rowKey) ([]byte, bool) {
-	if b, ok := r.now[k]; ok {
+// get returns a row and whether it was written recently; the value of a deleted
+// row is nil.
+func (r *recentRows) get(k rowKey) ([]byte, bool) {
+	if b, ok := r.current[k]; ok {
 		return b, true
 	}
-	b, ok := r.before[k]
+	b, ok := r.previous[k]
 	return b, ok
 }
 
-func (r *recent) synced() {
-	if len(r.now) >= recentMost {
-		r.before, r.now = r.now, make(map[rowKey][]byte, recentMost)
+// synced starts a new generation if the current one is full.
+func (r *recentRows) synced() {
+	if len(r.current) >= maxRecentRows {
+		r.previous, r.current = r.current, make(map[rowKey][]byte, maxRecentRows)
 	}
 }
 
-// find reads a row of a bucket that is not resident into m.
-func (v *Vault) find(bucket, key string, m proto.Message) (bool, error) {
+// lookup reads a row of a bucket that is not resident into m and reports
+// whether the row exists.
+func (v *Vault) lookup(bucket, key string, m proto.Message) (bool, error) {
 	b, ok := v.recent.get(rowKey{bucket, key})
 	if !ok {
 		var err error
@@ -94,30 +99,33 @@
 	return true, nil
 }
 
-// put writes a row that is looked up later.
-func (v *Vault) put(bucket, key string, m proto.Message) {
+// storeOnDisk writes a row of a bucket that is not resident.
+func (v *Vault) storeOnDisk(bucket, key string, m proto.Message) {
 	b := encode(m)
 	v.recent.put(rowKey{bucket, key}, b)
-	v.changed[rowKey{bucket, key}] = b
+	v.changedRows[rowKey{bucket, key}] = b
 }
 
-// store writes a row of a resident bucket.
-func (v *Vault) store(bucket, key string, m proto.Message) {
-	v.changed[rowKey{bucket, key}] = encode(m)
+// storeResident writes a row of a resident bucket.
+func (v *Vault) storeResident(bucket, key string, m proto.Message) {
+	v.changedRows[rowKey{bucket, key}] = encode(m)
 }
 
-// drop deletes a row that is looked up.
-func (v *Vault) drop(bucket, key string) {
+// deleteOnDisk deletes a row of a bucket that is not resident.
+func (v *Vault) deleteOnDisk(bucket, key string) {
 	v.recent.put(rowKey{bucket, key}, nil)
-	v.remove(bucket, key)
+	v.deleteResident(bucket, key)
 }
 
-func (v *Vault) remove(bucket, key string) { v.changed[rowKey{bucket, key}] = nil }
+// deleteResident deletes a row of a resident bucket.
+func (v *Vault) deleteResident(bucket, key string) { v.changedRows[rowKey{bucket, key}] = nil }
 
+// encode returns the deterministic encoding of a message, never nil.
 func encode(m proto.Message) []byte {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		// Marshalling fails only on invalid UTF-8, which the wire rejects.
+		// Marshalling fails only on invalid UTF-8, which is rejected when
+		// messages are received.
 		panic(err)
 	}
 	if b == nil {
@@ -126,47 +134,49 @@
 	return b
 }
 
-func (v *Vault) storeSelf() { v.store(BucketVault, vaultKey, v.self) }
+func (v *Vault) storeSelf() { v.storeResident(BucketVault, vaultKey, v.self) }
 
-func (v *Vault) storeBook(b *book) { v.store(BucketBooks, b.workspace, b.row(v.zone)) }
+func (v *Vault) storeBook(b *book) { v.storeResident(BucketBooks, b.workspace, b.row(v.zone)) }
 
 func (v *Vault) storeLease(l *messenger.LeaseRow) {
-	v.store(BucketLeases, leaseRowKey(l), l)
+	v.storeResident(BucketLeases, leaseRowKey(l), l)
 }
 
+// leaseRowKey returns the key of a lease in BucketLeases.
 func leaseRowKey(l *messenger.LeaseRow) string {
 	return l.Workspace + "/" + incarnationKey(l.Router, l.Incarnation)
 }
 
-// Restore takes one stored row; the shell gives it every row of Resident and
-// then calls Check.
+// Restore loads one stored row. The shell passes it every row of
+// ResidentBuckets and then calls Check.
 func (v *Vault) Restore(bucket, key string, value []byte) error {
 	switch bucket {
 	case BucketVault:
-		return into(value, &messenger.VaultRow{}, func(m *messenger.VaultRow) { v.self = m })
+		return decodeRow(value, &messenger.VaultRow{}, func(m *messenger.VaultRow) { v.self = m })
 	case BucketBooks:
-		return into(value, &messenger.Book{}, v.restoreBook)
+		return decodeRow(value, &messenger.Book{}, v.restoreBook)
 	case BucketLeases:
-		return into(value, &messenger.LeaseRow{}, v.restoreLease)
+		return decodeRow(value, &messenger.LeaseRow{}, v.restoreLease)
 	case BucketTransfers:
-		return into(value, &messenger.Transfer{}, func(m *messenger.Transfer) {
+		return decodeRow(value, &messenger.Transfer{}, func(m *messenger.Transfer) {
 			v.pending[m.TransferId] = m
-			v.book(m.Workspace).move(m.ToZone, rattanhoist.Tokens(m.Tokens))
+			v.book(m.Workspace).adjustInFlight(m.ToZone, rattanhoist.Tokens(m.Tokens))
 		})
 	case BucketRouters:
-		return into(value, &messenger.RouterRow{}, func(m *messenger.RouterRow) { v.routers[m.Router] = m })
+		return decodeRow(value, &messenger.RouterRow{}, func(m *messenger.RouterRow) { v.routers[m.Router] = m })
 	case BucketWitnessed:
-		return into(value, &messenger.Charge{}, func(m *messenger.Charge) { v.witnessed[witnessKey(m)] = m })
+		return decodeRow(value, &messenger.Charge{}, func(m *messenger.Charge) { v.witnessed[witnessKey(m)] = m })
 	case BucketRefused:
-		return into(value, &messenger.FenceWitnessRequest{}, func(m *messenger.FenceWitnessRequest) { v.refused[key] = m.Incarnation })
+		return decodeRow(value, &messenger.FenceWitnessRequest{}, func(m *messenger.FenceWitnessRequest) { v.witnessFences[key] = m.Incarnation })
 	case BucketMarks:
-		return into(value, &messenger.SoloMark{}, func(m *messenger.SoloMark) { v.marks[m.Zone] = m })
+		return decodeRow(value, &messenger.SoloMark{}, func(m *messenger.SoloMark) { v.marks[m.Zone] = m })
 	default:
 		return nil
 	}
 }
 
-func into[M proto.Message](value []byte, m M, f func(M)) error {
+// decodeRow decodes a row into m and passes it to f.
+func decodeRow[M proto.Message](value []byte, m M, f func(M)) error {
 	if err := proto.Unmarshal(value, m); err != nil {
 		return ErrCorrupt
 	}
@@ -190,8 +200,8 @@
 	v.book(m.Workspace).leases[leaseKey{m.Router, m.Incarnation}] = m
 }
 
-// Check verifies that every book balances and that its leases add up. Rows
-// that were torn or mixed would otherwise grant rights that nobody paid for.
+// Check verifies that every book balances and that its leases add up. Torn or
+// mixed rows could otherwise grant rights that nobody has paid for.
 func (v *Vault) Check() error {
 	for _, b := range v.books {
 		var leased rattanhoist.Tokens
--- a/budgeter/vault.go
+++ b/budgeter/vault.go
@@ -1,9 +1,10 @@
-// Package budgeter is the escrow of prepaid budgets: rights to spend exist
-// once, are minted by top-ups, moved between zones by transfers, leased to
-// routers and turned into charges.
+// Package budgeter accounts for prepaid budgets. A right is the permission to
+// spend one token. Rights exist once: top-ups mint them, transfers move them
+// between zones, leases give them to routers, and requests turn them into
+// charges.
 //
-// Vault is the pure state machine of one availability zone; Slice is the
-// router's side.
+// Vault is the deterministic state machine of one availability zone; it does no
+// I/O of its own except for reading rows. LeasedBudget is the router's part.
 package budgeter
 
 import (
@@ -22,54 +23,60 @@
 
 // Errors of a vault. Compare with errors.Is.
 var (
-	// ErrWrongZone says that a top-up's identity names another zone.
+	// ErrWrongZone is returned for a top-up whose ID names another zone.
 	ErrWrongZone = merry.Sentinel("top-up identity names another zone")
-	// ErrAmount says that an amount is not positive or does not fit.
+	// ErrAmount is returned for an amount that is not positive or out of range.
 	ErrAmount = merry.Sentinel("token amount must be positive and in range")
-	// ErrTopUpReused says that a top-up's identity came with other contents.
+	// ErrTopUpReused is returned for a top-up ID that was used with other
+	// contents.
 	ErrTopUpReused = merry.Sentinel("top-up identity was used for another top-up")
-	// ErrFenced says that the router's incarnation may not spend any more.
+	// ErrFenced is returned to a router's incarnation that may not spend any
+	// more.
 	ErrFenced = merry.Sentinel("router incarnation is fenced")
-	// ErrCorrupt says that stored rows contradict each other.
+	// ErrCorrupt is returned if stored rows are invalid or contradict each
+	// other.
 	ErrCorrupt = merry.Sentinel("stored budget rows are corrupt")
-	// ErrRepairing says that the vault's disk was lost and the router has not
-	// yet said what it holds; the same request works later.
+	// ErrRepairing is returned while a restored vault waits for the router's
+	// report of the rights that it holds. The same request succeeds later.
 	ErrRepairing = merry.Sentinel("budget is being repaired; ask again")
-	// ErrOutdated says that a zone has sent a later message than this one.
+	// ErrOutdated is returned if a later message of the same zone was already
+	// processed.
 	ErrOutdated = merry.Sentinel("message is older than one that was taken; ask again")
 )
 
-// leaseKey names what one incarnation of a router holds of a workspace.
+// leaseKey identifies the lease of a router's incarnation within a book.
 type leaseKey struct {
 	router      string
 	incarnation uint64
 }
 
-// book is one workspace's account in this zone.
+// book is the account of one workspace in this zone.
 //
 // Minted + received = unspent + leased + charged + given + frozen + withheld,
-// and leased is the sum of what the leases have outstanding. Frozen is
-// negative where routers had spent rights whose mint was lost with a disk;
-// everything else never is.
+// and leased is the sum of the outstanding rights of the leases. Frozen is
+// negative if routers spent rights whose mint was lost with a disk; all other
+// amounts are never negative.
 type book struct {
 	workspace                               string
 	minted, received                        rattanhoist.Tokens
 	unspent, leased, charged, given, frozen rattanhoist.Tokens
-	// Withheld rights may have been spent by a dead router on a lost disk.
+	// withheld rights may have been spent by a stopped router whose charges were
+	// lost with a disk.
 	withheld rattanhoist.Tokens
 	leases   map[leaseKey]*messenger.LeaseRow
-	// UnderWay sums the transfers that a zone has not confirmed; they are part
-	// of given.
-	underWay map[string]rattanhoist.Tokens
+	// inFlight sums the unconfirmed outgoing transfers by receiving zone. They
+	// are part of given.
+	inFlight map[string]rattanhoist.Tokens
 }
 
+// balances reports whether the amounts of a book add up and are valid.
 func (b *book) balances() bool {
 	in := b.minted + b.received
 	out := b.unspent + b.leased + b.charged + b.given + b.frozen + b.withheld
 	return in == out && min(b.minted, b.received, b.unspent, b.leased, b.charged, b.given, b.withheld) >= 0
 }
 
-// credit adds rights that may be spent; a debt is paid first.
+// credit adds spendable rights. A debt (negative frozen) is paid first.
 func (b *book) credit(n rattanhoist.Tokens) {
 	if b.frozen < 0 {
 		paid := min(n, -b.frozen)
@@ -79,12 +86,13 @@
 	b.unspent += n
 }
 
-// held is what a zone can't be given now and may get later; withheld rights
-// it can't. Rights on their way to a third zone count: without them a caller
-// would be told that the budget is spent while no zone has them in hand.
+// held returns the rights that the asking zone can't get now but may get later,
+// which excludes withheld rights. Rights in flight to a third zone are
+// included: otherwise a caller would be told that the budget is exhausted while
+// no zone has these rights at its disposal.
 func (b *book) held(asking string) rattanhoist.Tokens {
 	n := b.leased + max(b.frozen, 0)
-	for zone, t := range b.underWay {
+	for zone, t := range b.inFlight {
 		if zone != asking {
 			n += t
 		}
@@ -92,14 +100,16 @@
 	return n
 }
 
-// move notes a transfer on its way, or with a negative amount its arrival.
-func (b *book) move(zone string, n rattanhoist.Tokens) {
-	b.underWay[zone] += n
-	if b.underWay[zone] == 0 {
-		delete(b.underWay, zone)
+// adjustInFlight adds n, which is negative for a confirmed transfer, to the
+// rights in flight to a zone.
+func (b *book) adjustInFlight(zone string, n rattanhoist.Tokens) {
+	b.inFlight[zone] += n
+	if b.inFlight[zone] == 0 {
+		delete(b.inFlight, zone)
 	}
 }
 
+// row returns the stored form of a book.
 func (b *book) row(zone string) *messenger.Book {
 	return &messenger.Book{
 		Workspace: b.workspace, Zone: zone,
@@ -116,71 +126,74 @@
 	zone string
 	rows Rows
 	self *messenger.VaultRow
-	// Books maps workspaces to accounts.
+	// books maps workspaces to their accounts.
 	books map[string]*book
-	// Routers maps names to incarnations; fenced < incarnation, and released
-	// <= fenced.
+	// routers maps router names to their incarnations. Fenced <= the newest
+	// incarnation, and released <= fenced.
 	routers map[string]*messenger.RouterRow
-	// Pending holds transfers out that the other zone has not confirmed.
+	// pending maps IDs to outgoing transfers that the other zone has not
+	// confirmed.
 	pending map[string]*messenger.Transfer
-	// Witnessed holds other zones' charges until they are handed over.
+	// witnessed holds the charges of other zones until they are handed over.
 	witnessed map[string]*messenger.Charge
-	// Refused maps other zones' routers to the highest incarnation that the
-	// vault witnesses no more for.
-	refused map[string]uint64
-	// Marks maps zones to the latest solo mark of their keeper.
+	// witnessFences maps routers of other zones to the highest incarnation whose
+	// charges the vault refuses to store.
+	witnessFences map[string]uint64
+	// marks maps zones to the latest solo mark of their keeper.
 	marks map[string]*messenger.SoloMark
-	// Billed holds the requests billed in the step in progress, and billedMs
-	// the time of the oldest.
-	billed   []string
-	billedMs int64
-	// Settled maps zones to the time before which they ask for no claim any
-	// more; it is heard anew after a start.
-	settled map[string]int64
-	// PrunedCharges and prunedClaims count since the start.
+	// billedKeys holds the keys of the requests billed in the current step, and
+	// oldestBilledMs the time of the oldest of these bills.
+	billedKeys     []string
+	oldestBilledMs int64
+	// settledBeforeMs maps zones to the time before which they request no more
+	// claims. It is not stored, so the zones report it again after a start.
+	settledBeforeMs map[string]int64
+	// prunedCharges and prunedClaims count deletions since the start.
 	prunedCharges, prunedClaims int64
-	// NowMs is the time of the step in progress, in Unix milliseconds.
+	// nowMs is the time of the current step, in Unix milliseconds.
 	nowMs int64
-	// Proved maps routers to the incarnation whose holdings have been taken
-	// since the last start; it matters only while the vault is unproved.
-	proved map[string]uint64
+	// verified maps routers to the incarnation whose holdings were applied since
+	// the last start. It is used only while a restore is unverified.
+	verified map[string]uint64
 
-	recent recent
-	// Changed holds the rows of the step in progress; nil deletes.
-	changed map[rowKey][]byte
-	dirty   map[*book]bool
-	replies []Action
+	recent recentRows
+	// changedRows holds the rows written by the current step; a nil value
+	// deletes a row.
+	changedRows map[rowKey][]byte
+	dirtyBooks  map[*book]bool
+	replies     []Action
 }
 
-// NewVault returns the empty vault of a zone; rows looks up what Restore is
-// not given.
+// NewVault returns the empty vault of a zone. It reads rows of buckets that are
+// not resident from rows.
 func NewVault(zone string, rows Rows) *Vault {
 	return &Vault{
 		zone: zone, rows: rows, self: &messenger.VaultRow{},
-		books:     map[string]*book{},
-		routers:   map[string]*messenger.RouterRow{},
-		pending:   map[string]*messenger.Transfer{},
-		witnessed: map[string]*messenger.Charge{},
-		refused:   map[string]uint64{},
-		marks:     map[string]*messenger.SoloMark{},
-		proved:    map[string]uint64{},
-		settled:   map[string]int64{},
-		recent:    recent{now: map[rowKey][]byte{}},
-		changed:   map[rowKey][]byte{},
-		dirty:     map[*book]bool{},
+		books:           map[string]*book{},
+		routers:         map[string]*messenger.RouterRow{},
+		pending:         map[string]*messenger.Transfer{},
+		witnessed:       map[string]*messenger.Charge{},
+		witnessFences:   map[string]uint64{},
+		marks:           map[string]*messenger.SoloMark{},
+		verified:        map[string]uint64{},
+		settledBeforeMs: map[string]int64{},
+		recent:          recentRows{current: map[rowKey][]byte{}},
+		changedRows:     map[rowKey][]byte{},
+		dirtyBooks:      map[*book]bool{},
 	}
 }
 
-// Step handles one event. The rows come before the reply.
+// Step handles one event and returns the resulting actions: first the writes,
+// then the reply.
 func (v *Vault) Step(now time.Time, e Event) []Action {
 	v.nowMs = max(now.UnixMilli(), 0)
 	v.handle(e)
 	v.storeUnclaimed()
-	for b := range v.dirty {
+	for b := range v.dirtyBooks {
 		v.storeBook(b)
 	}
-	actions := make([]Action, 0, len(v.changed)+len(v.replies))
-	for k, value := range v.changed {
+	actions := make([]Action, 0, len(v.changedRows)+len(v.replies))
+	for k, value := range v.changedRows {
 		actions = append(actions, Write{Bucket: k.bucket, Key: k.key, Value: value})
 	}
 	slices.SortFunc(actions, func(a, b Action) int {
@@ -188,72 +201,77 @@
 		return cmp.Or(cmp.Compare(x.Bucket, y.Bucket), cmp.Compare(x.Key, y.Key))
 	})
 	actions = append(actions, v.replies...)
-	clear(v.changed)
-	clear(v.dirty)
+	clear(v.changedRows)
+	clear(v.dirtyBooks)
 	v.replies = nil
 	return actions
 }
 
-// Synced tells the vault that the rows of every step so far are synced.
+// Synced tells the vault that the rows of all steps so far are synced.
 func (v *Vault) Synced() { v.recent.synced() }
 
+// handle dispatches the events of top-ups, leases, charges and transfers.
 func (v *Vault) handle(e Event) {
 	switch e := e.(type) {
 	case Mint:
-		v.answer(e.Ticket)(v.mint(e.Request))
+		v.replyTo(e.Ticket)(v.mint(e.Request))
 	case Lease:
-		v.answer(e.Ticket)(v.lease(e.Request))
+		v.replyTo(e.Ticket)(v.lease(e.Request))
 	case Bill:
-		v.answer(e.Ticket)(v.bill(e.Request))
+		v.replyTo(e.Ticket)(v.bill(e.Request))
 	case Return:
-		v.answer(e.Ticket)(v.takeBack(e.Request))
+		v.replyTo(e.Ticket)(v.returnRights(e.Request))
 	case Ask:
-		v.answer(e.Ticket)(v.give(e.Request))
+		v.replyTo(e.Ticket)(v.startTransfer(e.Request))
 	case Receive:
-		v.answer(e.Ticket)(v.receive(e.Request))
+		v.replyTo(e.Ticket)(v.receiveTransfers(e.Request))
 	case Confirm:
-		v.confirm(e)
+		v.confirmTransfers(e)
 	case Register:
-		v.answer(e.Ticket)(v.register(e.Request))
+		v.replyTo(e.Ticket)(v.register(e.Request))
 	case Fence:
-		v.answer(e.Ticket)(v.fence(e.Request))
+		v.replyTo(e.Ticket)(v.fence(e.Request))
 	case Release:
-		v.answer(e.Ticket)(v.release(e))
+		v.replyTo(e.Ticket)(v.release(e))
 	default:
-		v.handleRepair(e)
+		v.handleMaintenance(e)
 	}
 }
 
-func (v *Vault) handleRepair(e Event) {
+// handleMaintenance dispatches the events of witnesses, claims, pruning and
+// restores.
+func (v *Vault) handleMaintenance(e Event) {
 	switch e := e.(type) {
 	case Witness:
-		v.answer(e.Ticket)(v.witness(e.Request))
+		v.replyTo(e.Ticket)(v.storeWitnessed(e.Request))
 	case FenceWitness:
-		v.answer(e.Ticket)(v.fenceWitness(e.Request))
+		v.replyTo(e.Ticket)(v.fenceWitness(e.Request))
 	case HandOver:
-		v.answer(e.Ticket)(v.handOver(e.Request))
+		v.replyTo(e.Ticket)(v.handOver(e.Request))
 	case HandedOver:
-		v.handedOver(e)
+		v.dropWitnessed(e)
 	case ClaimBills:
-		v.answer(e.Ticket)(v.claimBills(e.Request))
+		v.replyTo(e.Ticket)(v.claimBills(e.Request))
 	case BillsClaimed:
-		v.billsClaimed(e)
+		v.settleClaims(e)
 	case Prune:
 		v.prune(e)
 	case Mark:
-		v.answer(e.Ticket)(v.mark(e.Request))
+		v.replyTo(e.Ticket)(v.recordSoloMark(e.Request))
 	case Begin:
-		v.begin(e)
+		v.startIncarnation(e)
 	case Paired:
 		v.self.WitnessIncarnation = max(v.self.WitnessIncarnation, e.MirrorIncarnation)
 		v.storeSelf()
 	case Prove:
-		v.prove(e)
-		v.answer(e.Ticket)(proto.CloneOf(v.self), nil)
+		v.verifyRestore(e)
+		v.replyTo(e.Ticket)(proto.CloneOf(v.self), nil)
 	}
 }
 
-func (v *Vault) answer(t Ticket) func(proto.Message, error) {
+// replyTo returns a function that adds the reply to an event to the current
+// step.
+func (v *Vault) replyTo(t Ticket) func(proto.Message, error) {
 	return func(m proto.Message, err error) {
 		r := Reply{Ticket: t, Err: err}
 		if err == nil {
@@ -263,38 +281,39 @@
 	}
 }
 
-// book returns the account of a workspace, an empty one where none is.
+// book returns the account of a workspace and creates an empty one if needed.
 func (v *Vault) book(workspace string) *book {
 	b := v.books[workspace]
 	if b == nil {
-		b = &book{workspace: workspace, leases: map[leaseKey]*messenger.LeaseRow{}, underWay: map[string]rattanhoist.Tokens{}}
+		b = &book{workspace: workspace, leases: map[leaseKey]*messenger.LeaseRow{}, inFlight: map[string]rattanhoist.Tokens{}}
 		v.books[workspace] = b
 	}
 	return b
 }
 
-// touch returns the account to be changed; its row is written at the end of
-// the step.
-func (v *Vault) touch(workspace string) *book {
+// bookForUpdate returns the account of a workspace and has its row written at
+// the end of the step.
+func (v *Vault) bookForUpdate(workspace string) *book {
 	b := v.book(workspace)
-	v.dirty[b] = true
+	v.dirtyBooks[b] = true
 	return b
 }
 
-// Incarnation returns the identity of the vault's disk; 0 before Begin.
+// Incarnation returns the incarnation of the vault's disk, or 0 before
+// StartIncarnation.
 func (v *Vault) Incarnation() uint64 { return v.self.Incarnation }
 
-// Unproved reports whether rights are frozen after a restore.
+// RestoreUnverified reports whether rights are frozen after a restore.
 func (v *Vault) Unproved() bool { return v.self.Unproved }
 
-// Book returns the account of a workspace.
+// Book returns the account of a workspace, including its rights in flight.
 func (v *Vault) Book(workspace string) *messenger.Book {
 	b := v.books[workspace]
 	if b == nil {
 		return &messenger.Book{Workspace: workspace, Zone: v.zone}
 	}
 	out := b.row(v.zone)
-	for _, n := range b.underWay {
+	for _, n := range b.inFlight {
 		out.TransferOutTokens += int64(n)
 	}
 	return out
@@ -316,18 +335,19 @@
 	return t
 }
 
-// Charge returns the bill of a request, or nil.
+// Charge returns the bill of a request, or nil if there is none.
 func (v *Vault) Charge(k rattanhoist.RequestKey) (*messenger.Charge, error) {
 	c := &messenger.Charge{}
-	ok, err := v.find(BucketCharges, k.String(), c)
+	ok, err := v.lookup(BucketCharges, k.String(), c)
 	if !ok || err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// inOrder yields the values by key, so that equal vaults act equally.
-func inOrder[T any](m map[string]T) iter.Seq2[string, T] {
+// sortedByKey yields the entries of a map in key order, so that equal vaults
+// produce equal actions.
+func sortedByKey[T any](m map[string]T) iter.Seq2[string, T] {
 	return func(yield func(string, T) bool) {
 		for _, k := range slices.Sorted(maps.Keys(m)) {
 			if !yield(k, m[k]) {
--- a/budgeter/vault_test.go
+++ b/budgeter/vault_test.go
@@ -21,7 +21,7 @@
 	return v
 }
 
-// ask steps an event and returns its reply.
+// ask handles an event and returns its reply.
 func ask(v *budgeter.Vault, e budgeter.Event) budgeter.Reply {
 	for _, a := range v.Step(time.Time{}, e) {
 		if r, ok := a.(budgeter.Reply); ok {
@@ -31,9 +31,9 @@
 	return budgeter.Reply{}
 }
 
-// Symptom: an operator who lost the answer to a top-up pays twice.
-// Sequence: top up, lose the answer, resend under the same identity.
-// Cause: a mint that does not remember identities.
+// Guards against an operator who pays twice: the answer to a top-up is lost,
+// and the operator resends it with the same ID. The fault occurs if the vault
+// does not store the IDs of top-ups.
 func TestResentTopUpCountsOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := newVault("osu-hall")
@@ -45,9 +45,9 @@
 	g.Expect(ask(v, other).Err).To(gomega.MatchError(budgeter.ErrTopUpReused))
 }
 
-// Symptom: a request is billed twice.
-// Sequence: the router charges, the answer is lost, the router charges again.
-// Cause: charges that are not keyed by the request.
+// Guards against a request that is billed twice: the answer to a charge is lost
+// and the router resends the charge. The fault occurs if charges are not keyed
+// by request.
 func TestResentChargeIsBilledOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := newVault("osu-hall")
@@ -60,10 +60,11 @@
 	g.Expect([]int64{b.UnspentTokens, b.LeasedTokens, b.ChargedTokens}).To(gomega.Equal([]int64{50, 20, 30}))
 }
 
-// Symptom: a caller is told that the budget is spent while rights are on
-// their way between two other zones. Sequence: zone A gives to zone C; before
-// C has them, zone B asks both. Cause: rights in transfer that no zone names.
-func TestRightsUnderWayAreNamed(t *testing.T) {
+// Guards against a caller that is told that the budget is exhausted while
+// rights are in flight between two other zones. Zone A transfers rights to zone
+// C, and before they arrive zone B asks both. The fault occurs if no zone
+// reports the rights in flight.
+func TestRightsInFlightAreReported(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := newVault("a")
 	ask(v, budgeter.Mint{Request: &messenger.TopUpRequest{Workspace: "w", TopUpId: "a/1", Tokens: 100}})
--- a/budgeter/world_test.go
+++ b/budgeter/world_test.go
@@ -15,32 +15,34 @@
 
 type rowName struct{ bucket, key string }
 
-// disk holds what is synced at one keeper; a step's rows reach it at once or
-// not at all.
+// disk holds the synced data of a keeper. The rows of a step are written
+// completely or not at all.
 type disk struct {
 	rows   map[rowName][]byte
 	state  *messenger.CopyState
 	paired bool
-	// Begun is set with the first commit: a restore that a crash broke off
-	// before it starts anew.
+	// begun is set by the first commit. A restore that a crash interrupted
+	// before its first commit is repeated from the start.
 	begun  bool
-	copies map[string]*mirrored
+	copies map[string]*mirrorCopy
 }
 
-type mirrored struct {
+// mirrorCopy is the copy of another keeper's rows.
+type mirrorCopy struct {
 	state *messenger.CopyState
 	rows  map[rowName][]byte
 }
 
-func newDisk() *disk { return &disk{rows: map[rowName][]byte{}, copies: map[string]*mirrored{}} }
+func newDisk() *disk { return &disk{rows: map[rowName][]byte{}, copies: map[string]*mirrorCopy{}} }
 
 func (d *disk) Get(bucket, key string) ([]byte, error) { return d.rows[rowName{bucket, key}], nil }
 
+// apply applies the rows of a commit and keeps pruned bills for the checks.
 func apply(to map[rowName][]byte, rows []*messenger.CopyRow) {
 	for _, r := range rows {
 		if r.Value == nil {
 			if r.Bucket == budgeter.BucketCharges {
-				keepGone(to, r.Key)
+				keepPrunedBill(to, r.Key)
 			}
 			delete(to, rowName{r.Bucket, r.Key})
 			continue
@@ -49,21 +51,23 @@
 	}
 }
 
-// keeper is the shell of one vault, without sockets, timers and a real disk.
+// keeper simulates the process that runs a vault, without sockets, timers or a
+// real disk.
 type keeper struct {
 	zone   string
 	mirror string
 	disk   *disk
-	// Vault and copier are nil while the process is down.
+	// vault and copier are nil while the process is stopped.
 	vault  *budgeter.Vault
 	copier *budgeter.Copier
-	// Lossy is set once answers may have been lost with a disk and a router.
-	lossy bool
-	// Heard is what the process knows of its routers' charges.
+	// mayLackAnswers is set once answers may have been lost with a disk and a
+	// router.
+	mayLackAnswers bool
+	// heard holds the latest reports of the zone's routers.
 	heard map[string]budgeter.Heard
 }
 
-// crash points of the next commit.
+// crashPoint is the point of the next commit at which the keeper crashes.
 type crashPoint int
 
 const (
@@ -74,8 +78,9 @@
 	crashPoints
 )
 
-// purse is what a router holds of one workspace.
-type purse struct {
+// routerLease holds a router's rights of one workspace and its open request for
+// them.
+type routerLease struct {
 	slice             budgeter.Slice
 	sequence          uint64
 	granted, returned int64
@@ -91,60 +96,67 @@
 	begun    int64
 }
 
+// routerNode simulates a router.
 type routerNode struct {
 	name, zone  string
 	incarnation uint64
 	up, frozen  bool
 	registered  bool
-	// Skew is how far the router's clock is ahead; earliest is the time before
-	// which it makes no charge, and pinned that of a charge it gave up on.
+	// skew is how far the router's clock is ahead. The router makes no charge
+	// before the time earliest; pinned is the time of the oldest charge that was
+	// refused.
 	skew, earliest, pinned int64
 	sharesVM               bool
-	purses                 map[string]*purse
+	leases                 map[string]*routerLease
 	runs                   map[string]*run
-	// Unsafe holds completed charges that are not yet on two disks.
-	unsafe                    map[string]*messenger.Charge
+	// unmirrored holds completed charges that are not on two disks yet.
+	unmirrored                map[string]*messenger.Charge
 	markIncarnation, markFrom uint64
-	toldIncarnation           uint64
+	reportedToIncarnation     uint64
 }
 
-type envelope struct {
+// message is a message in flight between two zones.
+type message struct {
 	from, to string // zones
 	deliver  func()
 }
 
-// world is a deployment with a flat book beside it.
+// world simulates a deployment and records what was paid and completed, for
+// comparison with the vaults.
 type world struct {
-	zones   []string
-	keepers map[string]*keeper
-	routers []*routerNode
-	pool    []envelope
-	// Late holds charges that the network delivers once more after long.
-	late   []envelope
+	zones    []string
+	keepers  map[string]*keeper
+	routers  []*routerNode
+	inFlight []message
+	// late holds duplicates of charges that are delivered after a long delay.
+	late   []message
 	cut    map[[2]string]bool
 	crash  crashPoint
 	serial uint64
-	// Clock is the time in milliseconds.
+	// clock is the current time in milliseconds.
 	clock int64
-	// Paid maps top-up identities to what the operator paid.
+	// paid maps top-up IDs to the operator's payments.
 	paid map[string]*messenger.TopUpRequest
-	// Completed maps zone/workspace/request to what whole answers were told
-	// that they cost. Runs of one request at the keeper and at the witness may
-	// be told two prices; the zone bills one of them.
+	// completed maps zone/workspace/request to the prices told with completed
+	// answers. Runs of one request at the keeper and at the witness may be told
+	// different prices; the zone bills one of them.
 	completed map[string][]int64
 	fault     string
-	seen      map[string]int
+	counts    map[string]int
 	trace     []string
 }
 
-func (w *world) note(format string, args ...any) {
+// traceEvent appends a line to the trace that failures print.
+func (w *world) traceEvent(format string, args ...any) {
 	w.trace = append(w.trace, fmt.Sprintf(format, args...))
 }
 
+// newWorld returns a running deployment of three zones with one keeper and two
+// routers each.
 func newWorld() *world {
 	w := &world{
 		zones: []string{"a", "b", "c"}, keepers: map[string]*keeper{}, cut: map[[2]string]bool{},
-		paid: map[string]*messenger.TopUpRequest{}, completed: map[string][]int64{}, seen: map[string]int{},
+		paid: map[string]*messenger.TopUpRequest{}, completed: map[string][]int64{}, counts: map[string]int{},
 		clock: 1000,
 	}
 	for i, z := range w.zones {
@@ -165,22 +177,26 @@
 	return w
 }
 
-func (w *world) next() uint64 { w.serial++; return w.serial }
+// nextID returns a number that is unique within the deployment.
+func (w *world) nextID() uint64 { w.serial++; return w.serial }
 
+// reachable reports whether two zones are not partitioned from each other.
 func (w *world) reachable(a, b string) bool {
 	return !w.cut[[2]string{min(a, b), max(a, b)}]
 }
 
+// send puts a message in flight.
 func (w *world) send(from, to string, f func()) {
-	w.pool = append(w.pool, envelope{from, to, f})
+	w.inFlight = append(w.inFlight, message{from, to, f})
 }
 
+// zoneRouters returns the routers of a zone.
 func (w *world) zoneRouters(zone string) []*routerNode {
 	return slices.DeleteFunc(slices.Clone(w.routers), func(r *routerNode) bool { return r.zone != zone })
 }
 
-// startKeeper restores a vault from its disk, or from the mirror's copy when
-// the disk is empty.
+// startKeeper starts a keeper with the rows of its disk, or of the mirror's
+// copy if the disk is empty.
 func (w *world) startKeeper(k *keeper) {
 	v := budgeter.NewVault(k.zone, k.disk)
 	var begin *budgeter.Begin
@@ -189,7 +205,7 @@
 		if !w.reachable(k.zone, k.mirror) {
 			return
 		}
-		begin = &budgeter.Begin{Incarnation: w.next()}
+		begin = &budgeter.Begin{Incarnation: w.nextID()}
 		if c := w.keepers[k.mirror].disk.copies[k.zone]; c != nil {
 			k.disk.rows = maps.Clone(c.rows)
 			begin.Copy = c.state
@@ -202,16 +218,18 @@
 	w.check(v.Check() == nil, "books of "+k.zone+" do not balance after a restart")
 	k.vault = v
 	k.heard = map[string]budgeter.Heard{}
-	k.copier = budgeter.NewCopier(k.disk.state, k.disk.paired, func(_, to string) { w.seen[to]++ })
+	k.copier = budgeter.NewCopier(k.disk.state, k.disk.paired, func(_, to string) { w.counts[to]++ })
 	if begin != nil {
 		k.disk.paired = false
 		w.commit(k, *begin)
 		if begin.Copy != nil {
-			w.seen["restored"]++
+			w.counts["restored"]++
 		}
 	}
 }
 
+// check records the first violated condition; machine.Check then fails the
+// test.
 func (w *world) check(ok bool, fault string) {
 	if !ok && w.fault == "" {
 		w.fault = fault
@@ -220,8 +238,8 @@
 
 func (w *world) stopKeeper(k *keeper) { k.vault, k.copier = nil, nil }
 
-// commit is the shell's group commit of one event; nil means that no answer
-// may leave.
+// commit handles one event and commits its rows as the keeper does. A nil
+// message without an error means that no answer may be sent.
 func (w *world) commit(k *keeper, e budgeter.Event) (proto.Message, error) {
 	if k.vault == nil {
 		return nil, nil
@@ -236,7 +254,7 @@
 			reply = a
 		}
 	}
-	w.note("%s %T %v -> %v %v", k.zone, e, e, reply.Message, reply.Err)
+	w.traceEvent("%s %T %v -> %v %v", k.zone, e, e, reply.Message, reply.Err)
 	w.check(k.vault.Check() == nil, fmt.Sprintf("books of %s do not balance after %T", k.zone, e))
 	if !w.sync(k, budgeter.CopyRows(writes)) {
 		return nil, nil
@@ -250,14 +268,16 @@
 	return reply.Message, reply.Err
 }
 
+// mayAnswer reports whether the answer to an event may be sent in a mode.
 func mayAnswer(mode string, e budgeter.Event) bool {
 	return mode == budgeter.ModePaired || mode == budgeter.ModeSolo && !budgeter.NeedsTwoDisks(e)
 }
 
-// sync writes rows to the disk and then to the mirror; false means a crash. A
-// mirror that is written first, or at the same time, can hold a commit that a
-// crash took from the disk: the keeper then spends on its own, loses its disk,
-// and the restored copy gives the same rights to another zone.
+// sync writes rows to the disk and then to the mirror; it returns false after a
+// crash. If the mirror were written first or at the same time, it could hold a
+// commit that a crash removed from the disk. The keeper would then spend
+// without its mirror and lose its disk, and the restored copy would give the
+// same rights to another zone.
 func (w *world) sync(k *keeper, rows []*messenger.CopyRow) bool {
 	at := w.crash
 	w.crash = crashNever
@@ -270,7 +290,7 @@
 	k.disk.state, k.disk.begun = r.State, true
 	k.vault.Synced()
 	if at == crashSyncedUncopied {
-		w.seen["copy behind"]++
+		w.counts["copy behind"]++
 		w.stopKeeper(k)
 		return false
 	}
@@ -288,6 +308,8 @@
 	return true
 }
 
+// copyTo sends a commit to the mirror and reports whether the mirror applied
+// it.
 func (w *world) copyTo(k *keeper, r *messenger.CopyRequest) bool {
 	m := w.keepers[k.mirror]
 	c := m.disk.copies[k.zone]
@@ -299,7 +321,7 @@
 	return true
 }
 
-// markSolo leaves the mark at every holder that answers; one is enough.
+// markSolo stores the solo mark at every node that answers; one is enough.
 func (w *world) markSolo(k *keeper, commit uint64) {
 	mark := k.vault.SoloMark(commit)
 	held := false
@@ -308,7 +330,8 @@
 		if o.zone == k.zone || o.zone == k.mirror || !w.reachable(k.zone, o.zone) || o.vault == nil {
 			continue
 		}
-		// Two keepers that each wait for the other's mark would wait for ever.
+		// Two keepers that each wait for the other to store a mark would
+		// deadlock.
 		if o.copier.Mode() == budgeter.ModeMarking {
 			continue
 		}
@@ -326,8 +349,8 @@
 	}
 }
 
-// pair brings the mirror up to date and then makes one more commit, so that
-// the copy is later than every solo mark.
+// pair brings the mirror up to date and then makes one more commit, so that the
+// copy is later than every solo mark.
 func (w *world) pair(k *keeper) {
 	m := w.keepers[k.mirror]
 	if k.vault == nil || m.vault == nil || !w.reachable(k.zone, m.zone) || k.copier.Mode() == budgeter.ModePaired {
@@ -340,8 +363,8 @@
 	}
 	missing, whole := k.copier.Missing(have)
 	if whole {
-		m.disk.copies[k.zone] = &mirrored{state: k.disk.state, rows: maps.Clone(k.disk.rows)}
-		w.seen["whole copy"]++
+		m.disk.copies[k.zone] = &mirrorCopy{state: k.disk.state, rows: maps.Clone(k.disk.rows)}
+		w.counts["whole copy"]++
 	}
 	for _, r := range missing {
 		w.check(w.copyTo(k, r), "mirror refuses a missing commit")
@@ -352,7 +375,7 @@
 	}
 }
 
-// prove collects what routers and keepers say after a restore.
+// prove collects the reports of routers and keepers after a restore.
 func (w *world) prove(k *keeper) {
 	if k.vault == nil || !k.vault.Unproved() {
 		return
@@ -382,18 +405,19 @@
 	p.CopyComplete = k.vault.CopyComplete(e)
 	w.commit(k, p)
 	if k.vault != nil && !k.vault.Unproved() {
-		w.seen["proved"]++
+		w.counts["proved"]++
 		if p.CopyComplete {
-			w.seen["proved by marks"]++
+			w.counts["proved by marks"]++
 		}
 	}
 }
 
-// release returns what fenced incarnations had left.
+// release returns the unspent rights of fenced incarnations.
 func (w *world) release(k *keeper) {
 	m := w.keepers[k.mirror]
-	// The fence must be on two disks before the remainder is spent: a restored
-	// copy without it would take charges of the fenced incarnation.
+	// The fence must be on two disks before the returned rights are spent. A
+	// vault restored from a copy without the fence would accept charges of the
+	// fenced incarnation.
 	if k.vault == nil || k.copier.Mode() != budgeter.ModePaired || !w.reachable(k.zone, m.zone) {
 		return
 	}
@@ -407,11 +431,11 @@
 			return
 		}
 		w.commit(k, budgeter.Release{Router: r.Router, Incarnation: upTo, Witness: got.(*messenger.FenceWitnessReply)})
-		w.seen["released"]++
+		w.counts["released"]++
 	}
 }
 
-// handOver brings witnessed charges to their own zone.
+// handOver sends stored charges to their own zone.
 func (w *world) handOver(k *keeper) {
 	if k.vault == nil {
 		return
@@ -425,7 +449,7 @@
 		got, err := w.commit(o, budgeter.HandOver{Request: &messenger.HandOverRequest{Charges: charges}})
 		if got != nil && err == nil {
 			w.commit(k, budgeter.HandedOver{Charges: charges})
-			w.seen["handed over"]++
+			w.counts["handed over"]++
 		}
 		if k.vault == nil {
 			return
@@ -433,9 +457,10 @@
 	}
 }
 
-// claim finds bills of one request in two zones.
+// claim makes claims for a keeper's bills, to find requests that were billed in
+// two zones.
 func (w *world) claim(k *keeper) {
-	// A claim for a bill that is on one disk could outlive the bill.
+	// A claim for a bill that is on one disk only could outlive the bill.
 	if k.vault == nil || k.copier.Mode() != budgeter.ModePaired {
 		return
 	}
@@ -462,7 +487,7 @@
 			counting = append(counting, m.(*messenger.ClaimBillsReply).Zones...)
 		}
 		if slices.ContainsFunc(counting, func(z string) bool { return z != k.zone }) {
-			w.seen["reversed"]++
+			w.counts["reversed"]++
 		}
 		w.commit(k, budgeter.BillsClaimed{Counting: map[string][]string{key: counting}})
 		if k.vault == nil {
--- a/budgeter/world_transfers_test.go
+++ b/budgeter/world_transfers_test.go
@@ -5,8 +5,8 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// resend pushes unconfirmed transfers; while a commit is on one disk only, no
-// transfer may leave.
+// resend sends unconfirmed transfers again. No transfer may be sent while a
+// commit is on one disk only.
 func (w *world) resend(k *keeper) {
 	if k.vault == nil || k.copier.Mode() != budgeter.ModePaired {
 		return
@@ -16,6 +16,7 @@
 	}
 }
 
+// give sends a transfer to its zone and the confirmation back.
 func (w *world) give(k *keeper, t *messenger.Transfer) {
 	o := w.keepers[t.ToZone]
 	w.send(k.zone, o.zone, func() {
@@ -29,7 +30,7 @@
 	})
 }
 
-// ask has a zone ask another for rights.
+// ask makes a zone request rights from another one.
 func (w *world) ask(k, o *keeper, workspace string, n int64) {
 	if k.vault == nil || k == o {
 		return
@@ -40,7 +41,7 @@
 		if got == nil || err != nil || got.(*messenger.AskReply).Transfer == nil {
 			return
 		}
-		w.seen["given"]++
+		w.counts["given"]++
 		w.give(o, got.(*messenger.AskReply).Transfer)
 	})
 }
