--- a/recorder/recorder_test.go
+++ b/recorder/recorder_test.go
@@ -38,9 +38,9 @@
 	gomega.Expect(r.Explain("", "2")).To(gomega.BeEmpty())
 })
 
-// Symptom: a router's memory grows with the requests that it has served.
-// Sequence: many requests, and one id retried without end.
-// Cause: decisions were kept without a bound.
+// Guards against unbounded memory growth: decisions were kept without a limit,
+// so memory grew with the number of requests served and with endless retries
+// under one request ID.
 var _ = ginkgo.It("bounds its memory", func() {
 	const requests, sent = 64, 10_000
 	r := recorder.New(requests)
