--- a/reporter/histogram.go
+++ b/reporter/histogram.go
@@ -12,19 +12,21 @@
 
 const (
 	histogramStripes = 8
-	// histogramMax is the longest duration told apart from longer ones.
-	histogramMax     = time.Hour
-	histogramDigits  = 2
-	histogramMaxUnit = int64(histogramMax / time.Microsecond)
+	// histogramMaxDuration is the upper limit of the histogram; longer durations
+	// are recorded as this value.
+	histogramMaxDuration       = time.Hour
+	histogramSignificantDigits = 2
+	histogramMaxMicroseconds   = int64(histogramMaxDuration / time.Microsecond)
 )
 
-// Histogram counts durations in microseconds. Safe for concurrent use;
-// recorders spread over stripes, so that no lock is shared by all.
+// Histogram records the distribution of durations in microseconds. It is safe
+// for concurrent use. Each observation goes to a random stripe with its own lock,
+// which reduces contention.
 type Histogram struct {
 	stripes [histogramStripes]struct {
 		mu sync.Mutex
 		h  *hdrhistogram.Histogram
-		// Pad keeps two stripes from sharing a cache line.
+		// Padding prevents false sharing of a cache line between stripes.
 		_ [64]byte
 	}
 }
@@ -35,27 +37,29 @@
 func NewHistogram() *Histogram {
 	h := &Histogram{}
 	for i := range h.stripes {
-		h.stripes[i].h = hdrhistogram.New(1, histogramMaxUnit, histogramDigits)
+		h.stripes[i].h = hdrhistogram.New(1, histogramMaxMicroseconds, histogramSignificantDigits)
 	}
 	return h
 }
 
-// String returns the summary as JSON.
+// String returns the summary as JSON, as expvar.Var requires.
 func (h *Histogram) String() string {
 	b, _ := json.Marshal(h.Summary())
 	return string(b)
 }
 
-// Observe counts one duration.
+// Observe records one duration, clamped to the range from one microsecond to
+// histogramMaxDuration.
 func (h *Histogram) Observe(d time.Duration) {
 	s := &h.stripes[rand.IntN(histogramStripes)]
-	v := min(max(int64(d/time.Microsecond), 1), histogramMaxUnit)
+	v := min(max(int64(d/time.Microsecond), 1), histogramMaxMicroseconds)
 	s.mu.Lock()
 	_ = s.h.RecordValue(v)
 	s.mu.Unlock()
 }
 
-// Summary holds percentiles in microseconds.
+// Summary holds the number of observations, and percentiles and the maximum in
+// microseconds.
 type Summary struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50_us"`
@@ -64,9 +68,10 @@
 	Max   int64 `json:"max_us"`
 }
 
-// Summary returns the percentiles since the process started.
+// Summary merges all stripes and returns the statistics of all observations since
+// the histogram was created.
 func (h *Histogram) Summary() Summary {
-	all := hdrhistogram.New(1, histogramMaxUnit, histogramDigits)
+	all := hdrhistogram.New(1, histogramMaxMicroseconds, histogramSignificantDigits)
 	for i := range h.stripes {
 		s := &h.stripes[i]
 		s.mu.Lock()
--- a/reporter/queue_test.go
+++ b/reporter/queue_test.go
@@ -11,32 +11,31 @@
 	"rattanhoist.example/rattanhoist/reporter"
 )
 
-// stuck is an output whose reader has stopped.
-type stuck struct {
+// blockedWriter blocks in Write until the channel wait is closed.
+type blockedWriter struct {
 	mu   sync.Mutex
 	wait chan struct{}
 	got  bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *blockedWriter) Write(b []byte) (int, error) {
 	<-s.wait
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.Write(b)
 }
 
-func (s *stuck) String() string {
+func (s *blockedWriter) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.String()
 }
 
-// Symptom: requests stand still while nobody reads the log.
-// Sequence: the reader of the output stops; more lines come than fit.
-// Cause: a write to the log that waits for its reader.
+// Guards against requests that hang while nobody reads the log: log writes used to
+// block when the reader of the output had stopped and the buffer was full.
 func TestBlockedOutputDelaysNobody(t *testing.T) {
 	g := gomega.NewWithT(t)
-	out := &stuck{wait: make(chan struct{})}
+	out := &blockedWriter{wait: make(chan struct{})}
 	q, stop := reporter.NewQueue(out)
 	begun := time.Now()
 	for range 10_000 {
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -1,5 +1,6 @@
-// Package reporter serves a process's counters and state on its debug
-// address and, where the settings allow it, the fault port of tests.
+// Package reporter serves the metrics and state of a process over HTTP on its
+// debug address and, if the settings allow it, the fault injection endpoints for
+// tests. It also provides latency histograms and a non-blocking log writer.
 package reporter
 
 import (
@@ -21,14 +22,17 @@
 	stateTimeout      = 2 * time.Second
 )
 
-// stater tells the state of a process; Operations servers do.
-type stater interface {
+// stateProvider returns the state of a process. Servers of the Operations service
+// implement it.
+type stateProvider interface {
 	State(context.Context, *messenger.StateRequest) (*messenger.StateReply, error)
 }
 
-// Serve serves on address until ctx ends; an empty address serves nothing.
-// With a cutter, POST /fault/cut and /fault/heal take the form value address.
-func Serve(ctx context.Context, address string, cutter *messenger.Cutter, s stater, log *zap.Logger) error {
+// Serve starts the debug server on address in the background and stops it when
+// ctx is done. It does nothing if address is empty. If cutter is not nil, POST
+// /fault/cut starts a simulated network partition to the address in the form
+// value "address", and POST /fault/heal ends it.
+func Serve(ctx context.Context, address string, cutter *messenger.Cutter, s stateProvider, log *zap.Logger) error {
 	if address == "" {
 		return nil
 	}
@@ -36,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	h := &http.Server{Handler: handler(cutter, s), ReadHeaderTimeout: readHeaderTimeout}
+	h := &http.Server{Handler: newHandler(cutter, s), ReadHeaderTimeout: readHeaderTimeout}
 	go func() {
 		<-ctx.Done()
 		_ = h.Close()
@@ -49,7 +53,9 @@
 	return nil
 }
 
-func handler(cutter *messenger.Cutter, s stater) http.Handler {
+// newHandler returns the HTTP handler of the debug server. It includes the fault
+// injection endpoints only if cutter is not nil.
+func newHandler(cutter *messenger.Cutter, s stateProvider) http.Handler {
 	m := http.NewServeMux()
 	m.Handle("GET /debug/vars", expvar.Handler())
 	m.HandleFunc("GET /state", func(w http.ResponseWriter, r *http.Request) { writeState(w, r, s) })
@@ -60,8 +66,8 @@
 	return m
 }
 
-// writeState answers with the process's StateReply as JSON.
-func writeState(w http.ResponseWriter, r *http.Request, s stater) {
+// writeState writes the StateReply of the process as JSON.
+func writeState(w http.ResponseWriter, r *http.Request, s stateProvider) {
 	ctx, cancel := context.WithTimeout(r.Context(), stateTimeout)
 	defer cancel()
 	state, err := s.State(ctx, &messenger.StateRequest{})
