--- a/narrator/align.go
+++ b/narrator/align.go
@@ -5,14 +5,16 @@
 	"time"
 )
 
-// align sets the lines' offsets. Each process says when it learns of a
-// configuration's number, and all learn of it at about the same time. Where one
-// is more than ordinaryLag from the median of all, twice in a row, its clock
-// differs by as much; once alone it was cut off and learned late.
-func align(all []*Line) {
+// alignClocks sets the clock offset of each line. Every process logs when it
+// learns of a new configuration number, and all processes learn of it at about
+// the same time. If a process differs from the median of all by more than
+// maxPropagationDelay twice in a row, the difference is taken as its clock
+// offset. A single difference means that the process was cut off from the
+// network and learned of the configuration late.
+func alignClocks(all []*Line) {
 	known := map[float64][]time.Time{}
 	for _, l := range all {
-		if n, ok := learned(l); ok {
+		if n, ok := learnedConfiguration(l); ok {
 			known[n] = append(known[n], l.At)
 		}
 	}
@@ -21,18 +23,21 @@
 		byProcess[l.Process] = append(byProcess[l.Process], l)
 	}
 	for _, lines := range byProcess {
-		spread(lines, smooth(lines, known))
+		assignOffsets(lines, estimateOffsets(lines, known))
 	}
 }
 
-// smooth returns the offset at each line of a process that shows one.
-func smooth(lines []*Line, known map[float64][]time.Time) map[*Line]time.Duration {
+// estimateOffsets returns the clock offset at each line of one process that
+// reports a configuration known to at least three processes. Each offset is the
+// median of three consecutive observations, which suppresses a single outlier.
+// With fewer than three, the smallest offset by absolute value wins.
+func estimateOffsets(lines []*Line, known map[float64][]time.Time) map[*Line]time.Duration {
 	var at []*Line
 	var seen []time.Duration
 	for _, l := range lines {
-		if n, ok := learned(l); ok && len(known[n]) > 2 {
+		if n, ok := learnedConfiguration(l); ok && len(known[n]) > 2 {
 			at = append(at, l)
-			seen = append(seen, beyondLag(l.At.Sub(median(known[n]))))
+			seen = append(seen, ignorePropagationDelay(l.At.Sub(median(known[n]))))
 		}
 	}
 	out := map[*Line]time.Duration{}
@@ -46,9 +51,9 @@
 	return out
 }
 
-// learned returns the number of a configuration that a process has just learned
-// of.
-func learned(l *Line) (float64, bool) {
+// learnedConfiguration returns the configuration number that the line reports
+// as newly learned. It returns false for other lines.
+func learnedConfiguration(l *Line) (float64, bool) {
 	if l.Message != "configuration in force" && l.Message != "configuration" {
 		return 0, false
 	}
@@ -56,21 +61,26 @@
 	return n, ok
 }
 
+// median returns the middle one of the times, or the later of the two middle
+// ones.
 func median(times []time.Time) time.Time {
 	s := slices.SortedFunc(slices.Values(times), time.Time.Compare)
 	return s[len(s)/2]
 }
 
-func beyondLag(d time.Duration) time.Duration {
-	if d.Abs() < ordinaryLag {
+// ignorePropagationDelay returns zero if d is shorter than maxPropagationDelay,
+// and d otherwise.
+func ignorePropagationDelay(d time.Duration) time.Duration {
+	if d.Abs() < maxPropagationDelay {
 		return 0
 	}
 	return d
 }
 
-// spread gives each line of a process the offset that was seen last before it,
-// or first after it.
-func spread(lines []*Line, seen map[*Line]time.Duration) {
+// assignOffsets sets the offset of each line of one process to the latest
+// estimate at or before the line. Lines before the first estimate get the first
+// one.
+func assignOffsets(lines []*Line, seen map[*Line]time.Duration) {
 	var offset time.Duration
 	if i := slices.IndexFunc(lines, func(l *Line) bool { _, ok := seen[l]; return ok }); i >= 0 {
 		offset = seen[lines[i]]
--- a/narrator/losses.go
+++ b/narrator/losses.go
@@ -8,50 +8,56 @@
 	"time"
 )
 
-// lossWindow is the time in which losses count as one trouble.
+// lossWindow is the length of the intervals in which losses are counted to find
+// their peak.
 const lossWindow = 2 * time.Second
 
-// Loss is what callers did not get, or got late, for one cause.
+// Loss summarizes the requests that failed, were refused or were answered late
+// for one cause.
 type Loss struct {
 	Cause    string `json:"cause"`
 	Requests int    `json:"requests"`
-	// Prompt is the sum of their prompts, in tokens.
+	// Prompt is the total number of prompt tokens of these requests.
 	Prompt int64 `json:"prompt_tokens"`
-	// Share is their part of all requests.
+	// Share is the fraction of all requests, from 0 to 1.
 	Share float64 `json:"share"`
-	// From is the begin of the lossWindow that holds most of them, Peak how many.
+	// From is the start of the lossWindow with the most losses, and Peak is the
+	// number of losses in it.
 	From time.Time `json:"from"`
 	Peak int       `json:"peak"`
-	// Routes counts them by route.
+	// Routes is the number of losses by route.
 	Routes map[string]int `json:"routes"`
 }
 
-// endedMessage is the routers' line about a request's final answer.
+// endedMessage is the message that routers log with the final answer to a
+// request.
 const endedMessage = "ended"
 
-// Losses returns what became of the requests that did not end well, by cause,
-// the largest first, and the number of all requests. A caller that was refused
-// and comes back counts as another request.
+// Losses groups the requests that did not end well by cause, the most frequent
+// cause first. It also returns the total number of requests. A retry by a
+// caller that was refused counts as another request.
 func Losses(all []*Line) (losses []*Loss, requests int) {
-	align(all)
+	alignClocks(all)
 	byCause := map[string][]*Line{}
 	for _, l := range all {
 		if l.Message != endedMessage {
 			continue
 		}
 		requests++
-		if c := cause(l); c != "" {
+		if c := lossCause(l); c != "" {
 			byCause[c] = append(byCause[c], l)
 		}
 	}
 	for _, c := range slices.Sorted(maps.Keys(byCause)) {
-		losses = append(losses, lossOf(c, byCause[c], requests))
+		losses = append(losses, summarizeLoss(c, byCause[c], requests))
 	}
 	slices.SortStableFunc(losses, func(a, b *Loss) int { return cmp.Compare(b.Requests, a.Requests) })
 	return losses, requests
 }
 
-func lossOf(cause string, lines []*Line, requests int) *Loss {
+// summarizeLoss builds the Loss of one cause from the final lines of its
+// requests; requests is the total number of requests.
+func summarizeLoss(cause string, lines []*Line, requests int) *Loss {
 	x := &Loss{Cause: cause, Requests: len(lines), Share: float64(len(lines)) / float64(requests), Routes: map[string]int{}}
 	windows := map[time.Time]int{}
 	for _, l := range lines {
@@ -70,8 +76,10 @@
 	return x
 }
 
-// cause names why a request did not end well, or returns "".
-func cause(l *Line) string {
+// lossCause returns the cause why a request failed, was refused, was abandoned
+// by its caller or was answered late. It returns an empty string for a request
+// that ended well.
+func lossCause(l *Line) string {
 	status, _ := l.Fields["status"].(float64)
 	why, _ := l.Fields["why"].(string)
 	if status >= 200 && status < 300 {
@@ -90,12 +98,14 @@
 	if why == "" {
 		why = "endpoint's own answer"
 	}
-	return kind + ": " + general(why)
+	return kind + ": " + generalizeReason(why)
 }
 
-// general returns the part of a reason that is the same for many requests: what
-// follows a colon names one connection, or one moment.
-func general(why string) string {
+// generalizeReason strips the parts of a reason that are specific to one
+// request, so that equal causes can be grouped. It cuts the reason at the first
+// part after a colon that contains a digit, since such a part identifies one
+// connection or one moment.
+func generalizeReason(why string) string {
 	parts := strings.Split(why, ": ")
 	for i, p := range parts {
 		if i > 0 && strings.ContainsAny(p, "0123456789") {
--- a/narrator/losses_test.go
+++ b/narrator/losses_test.go
@@ -9,18 +9,19 @@
 	"rattanhoist.example/rattanhoist/narrator"
 )
 
-// Requests that ended well, were late, refused and failed, at two routers.
+// Requests that succeeded, were answered late, were refused or failed, at two
+// routers.
 func TestLossesByCause(t *testing.T) {
 	g := gomega.NewWithT(t)
-	all := read(t, map[string]string{
-		"r1.log": line(100, "r1", "ended", `,"status":200,"prompt":5`) +
-			line(101, "r1", "ended", `,"status":402,"route":"a","prompt":100,"why":"prepaid total is spent"`) +
-			line(104, "r1", "ended", `,"status":402,"route":"a","prompt":10,"why":"prepaid total is spent"`) +
-			line(105, "r1", "ended", `,"status":200,"route":"a","prompt":7,"late":"first event"`),
-		"r2.log": line(104.5, "r2", "ended", `,"status":402,"route":"b","prompt":1,"why":"prepaid total is spent"`) +
-			line(104.6, "r2", "ended", `,"status":502,"why":"stream broken off: read tcp 10.0.0.1:5: reset"`) +
-			line(104.7, "r2", "ended", `,"status":0,"why":"caller gone: x"`) +
-			line(104.8, "r2", "another endpoint", `,"why":"x"`),
+	all := readLogs(t, map[string]string{
+		"r1.log": formatLine(100, "r1", "ended", `,"status":200,"prompt":5`) +
+			formatLine(101, "r1", "ended", `,"status":402,"route":"a","prompt":100,"why":"prepaid total is spent"`) +
+			formatLine(104, "r1", "ended", `,"status":402,"route":"a","prompt":10,"why":"prepaid total is spent"`) +
+			formatLine(105, "r1", "ended", `,"status":200,"route":"a","prompt":7,"late":"first event"`),
+		"r2.log": formatLine(104.5, "r2", "ended", `,"status":402,"route":"b","prompt":1,"why":"prepaid total is spent"`) +
+			formatLine(104.6, "r2", "ended", `,"status":502,"why":"stream broken off: read tcp 10.0.0.1:5: reset"`) +
+			formatLine(104.7, "r2", "ended", `,"status":0,"why":"caller gone: x"`) +
+			formatLine(104.8, "r2", "another endpoint", `,"why":"x"`),
 	})
 	losses, requests := narrator.Losses(all)
 	g.Expect(requests).To(gomega.Equal(7))
--- a/narrator/narrator.go
+++ b/narrator/narrator.go
@@ -1,5 +1,5 @@
-// Package narrator tells a request's story from the log files of a fleet's
-// processes, whose clocks may differ.
+// Package narrator reconstructs the history of a request from the log files of
+// several processes. It corrects for differences between their clocks.
 package narrator
 
 import (
@@ -16,38 +16,41 @@
 )
 
 const (
-	// lineMost bounds one line, in bytes; the longest that the product writes
-	// are a few kilobytes.
-	lineMost = 1 << 20
-	// ordinaryLag is how much later than the first process another may say that
-	// it knows a configuration, with clocks that agree: a few questions to
-	// keepers. Larger differences are taken for a difference of the clocks.
-	ordinaryLag = 1500 * time.Millisecond
-	// around is how far from a request's own lines others are part of its
-	// story: the time that a router needs to find out about a cut.
-	around = 1500 * time.Millisecond
+	// maxLineBytes is the maximum length of a log line. The longest lines that
+	// the product writes are a few kilobytes.
+	maxLineBytes = 1 << 20
+	// maxPropagationDelay is the longest delay, with synchronized clocks,
+	// between the first process and another one reporting the same
+	// configuration. It allows for a few requests to keepers. Larger
+	// differences are attributed to the clocks.
+	maxPropagationDelay = 1500 * time.Millisecond
+	// contextWindow is the time before and after a request's own lines in which
+	// other lines are included in its history. It is the time that a router
+	// needs to detect a network partition.
+	contextWindow = 1500 * time.Millisecond
 )
 
-// Line is one line of a log. As JSON it has the fields process, at, offset_ms,
-// message, fields and own.
+// Line is one line of a log. Its JSON form has the fields process, at,
+// offset_ms, message, fields and own.
 type Line struct {
-	// Process wrote the line; At is when by its own clock, and Offset how far
-	// that is ahead of the others'.
+	// Process is the process that wrote the line, At the time by its own clock,
+	// and Offset how far that clock is ahead of the others.
 	Process string
 	At      time.Time
 	Offset  time.Duration
 	Message string
-	// Fields are the rest of the line.
+	// Fields holds the remaining fields of the line.
 	Fields map[string]any
-	// Own says that the line names the request; others tell what was the case
-	// around it.
+	// Own reports whether the line names the request. Other lines of its
+	// history describe the state of the system at the time.
 	Own bool
 }
 
-// Time is when the line was written by the clocks that most processes share.
+// Time returns the time of the line, corrected by the clock offset of its
+// process.
 func (l *Line) Time() time.Time { return l.At.Add(-l.Offset) }
 
-// MarshalJSON writes the line as other programs read it.
+// MarshalJSON encodes the line in the format that other programs read.
 func (l *Line) MarshalJSON() ([]byte, error) {
 	return json.Marshal(struct {
 		Process  string         `json:"process"`
@@ -59,7 +62,7 @@
 	}{l.Process, l.At, l.Offset.Milliseconds(), l.Message, l.Fields, l.Own})
 }
 
-// Text returns the fields as text, by name.
+// Text formats the fields as key=value pairs, sorted by key.
 func (l *Line) Text() string {
 	var parts []string
 	for _, k := range slices.Sorted(maps.Keys(l.Fields)) {
@@ -72,12 +75,13 @@
 	return strings.Join(parts, " ")
 }
 
-// Read returns the lines of one file and how many were not understood. What
-// stands before the first brace of a line is skipped: collectors put their own
-// time there.
+// Read parses the lines of one log file and returns them with the number of
+// lines that could not be parsed. Text before the first brace of a line is
+// skipped, because log collectors put their own timestamp there. The file name
+// identifies the process for lines that do not name one.
 func Read(r io.Reader, file string) (lines []*Line, skipped int, err error) {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, lineMost)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		if l := parse(s.Bytes(), file); l != nil {
 			lines = append(lines, l)
@@ -88,6 +92,8 @@
 	return lines, skipped, s.Err()
 }
 
+// parse parses one log line. It returns nil if the line is not a JSON object
+// with a timestamp and a message.
 func parse(b []byte, file string) *Line {
 	i := bytes.IndexByte(b, '{')
 	if i < 0 {
@@ -112,10 +118,11 @@
 	return l
 }
 
-// Story returns the lines that name a request, with those that tell what its
-// processes believed meanwhile, in order. It returns none if no line names it.
+// Story returns the history of a request in chronological order: the lines that
+// name the request, and lines that show the state known to the processes
+// involved. It returns nil if no line names the request.
 func Story(all []*Line, request string) []*Line {
-	align(all)
+	alignClocks(all)
 	var own, out []*Line
 	for _, l := range all {
 		l.Own = l.Fields["request"] == request
@@ -126,9 +133,9 @@
 	if len(own) == 0 {
 		return nil
 	}
-	s := scopeOf(own)
+	s := newRequestScope(own)
 	for _, l := range all {
-		if l.Own || s.covers(l) {
+		if l.Own || s.includes(l) {
 			out = append(out, l)
 		}
 	}
@@ -138,17 +145,20 @@
 	return out
 }
 
-// scope is what a request had to do with.
-type scope struct {
+// requestScope describes the time span, processes, endpoints, workspace and
+// content of a request. It selects the lines that are relevant to the request.
+type requestScope struct {
 	from, to             time.Time
 	processes, endpoints map[string]bool
 	workspace            string
-	// Content is "" unless an endpoint broke off under the request or it was held back.
+	// content is empty unless an endpoint broke off while serving the request
+	// or the request was held back.
 	content string
 }
 
-func scopeOf(own []*Line) *scope {
-	s := &scope{processes: map[string]bool{}, endpoints: map[string]bool{}, from: own[0].Time(), to: own[0].Time()}
+// newRequestScope derives the scope of a request from the lines that name it.
+func newRequestScope(own []*Line) *requestScope {
+	s := &requestScope{processes: map[string]bool{}, endpoints: map[string]bool{}, from: own[0].Time(), to: own[0].Time()}
 	for _, l := range own {
 		begun := l.Time()
 		if took, ok := l.Fields["took"].(float64); ok {
@@ -177,19 +187,22 @@
 	return s
 }
 
-// totalMessage is the keepers' line about where a workspace's total is.
-const totalMessage = "prepaid total"
+// prepaidTotalMessage is the message that keepers log about the location of a
+// workspace's prepaid total.
+const prepaidTotalMessage = "prepaid total"
 
-// states are messages that stay true until another of the same kind, so the
-// last one before a request belongs to its story however old it is.
-var states = map[string]string{
+// stateMessages maps messages to the kind of state that they report. A state is
+// valid until the next message of its kind, so the last message before a
+// request is relevant however old it is.
+var stateMessages = map[string]string{
 	"no keeper answers; serving what is known": "keepers", "keepers answer again": "keepers",
 	"configuration in force": "configuration",
 }
 
-// equals reports whether a line tells of a request equal to this one. Why one is held
-// back is told long before it comes.
-func (s *scope) equals(l *Line) bool {
+// matchesContent reports whether the line is about a request with the same
+// content. Such lines are included regardless of their time, because the reason
+// for holding a request back is logged long before that request arrives.
+func (s *requestScope) matchesContent(l *Line) bool {
 	if s.content == "" {
 		return false
 	}
@@ -197,14 +210,16 @@
 	return l.Fields["content"] == s.content || slices.Contains(list, any(s.content))
 }
 
-func (s *scope) covers(l *Line) bool {
+// includes reports whether a line that does not name the request belongs to its
+// history.
+func (s *requestScope) includes(l *Line) bool {
 	if _, other := l.Fields["request"]; other {
 		return false
 	}
-	if s.equals(l) {
+	if s.matchesContent(l) {
 		return true
 	}
-	if l.Time().Before(s.from.Add(-around)) || l.Time().After(s.to.Add(around)) {
+	if l.Time().Before(s.from.Add(-contextWindow)) || l.Time().After(s.to.Add(contextWindow)) {
 		return false
 	}
 	if e, ok := l.Fields["endpoint"].(string); ok {
@@ -219,21 +234,21 @@
 	return s.processes[l.Process] || l.Message == "log" || strings.HasPrefix(l.Message, "disk ")
 }
 
-// Before returns the last line of each kind of state that a request's process
-// had written before its story begins, and the last one about its workspace's
-// total.
+// Before returns the state in which the history of a request begins: the last
+// line of each kind of state that the request's process wrote before, and the
+// last line about the prepaid total of its workspace.
 func Before(all, story []*Line) []*Line {
 	i := slices.IndexFunc(story, func(l *Line) bool { return l.Own })
 	if i < 0 {
 		return nil
 	}
 	process, at := story[i].Process, story[0].Time()
-	workspace := scopeOf(story[i : i+1]).workspace
+	workspace := newRequestScope(story[i : i+1]).workspace
 	last := map[string]*Line{}
 	for _, l := range all {
-		kind, ok := states[l.Message]
-		if l.Message == totalMessage {
-			kind, ok = totalMessage, l.Fields["workspace"] == workspace
+		kind, ok := stateMessages[l.Message]
+		if l.Message == prepaidTotalMessage {
+			kind, ok = prepaidTotalMessage, l.Fields["workspace"] == workspace
 		} else {
 			ok = ok && l.Process == process
 		}
