--- a/tracer/tracer.go
+++ b/tracer/tracer.go
@@ -1,5 +1,6 @@
-// Package tracer sets OpenTelemetry up and makes the spans of a request's
-// hops. With the exporter "none" a hop costs one comparison.
+// Package tracer configures OpenTelemetry tracing and creates the spans for the
+// steps of a request, called hops. With the exporter "none", a hop costs a
+// single comparison.
 package tracer
 
 import (
@@ -22,37 +23,39 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// ErrExporter says that no exporter has the name.
+// ErrExporter is returned by Start if the exporter name is unknown.
 var ErrExporter = merry.Sentinel("unknown trace exporter")
 
-// None is the exporter that turns traces off.
+// None is the name of the exporter that disables tracing.
 const None = "none"
 
-// Options choose the exporter of one process.
+// Options configures tracing for one process.
 type Options struct {
-	// Process names the process in its spans.
+	// Process is the process name that is recorded with the spans.
 	Process string
-	// Exporter is one of Exporters.
+	// Exporter is one of the names that Exporters returns.
 	Exporter string
-	// File takes the spans of the exporter "file", one JSON object each.
+	// File is the output file of the exporter "file". Each span is appended as
+	// a JSON object.
 	File string
-	// Endpoint is host:port of the collector for the exporter "otlp".
+	// Endpoint is the host:port of the collector for the exporter "otlp".
 	Endpoint string
-	// Ratio is the part of new traces that is kept, 0 to 1. Traces that a
-	// caller began are kept as the caller says.
+	// Ratio is the fraction of new traces to sample, from 0 to 1. For a trace
+	// that a caller started, the sampling decision of the caller applies.
 	Ratio float64
 }
 
-// makeExporter returns an exporter and what to close after it.
-type makeExporter func(context.Context, Options) (sdk.SpanExporter, io.Closer, error)
+// exporterFactory creates an exporter, and optionally a closer to be closed
+// after the exporter has shut down. A nil exporter disables tracing.
+type exporterFactory func(context.Context, Options) (sdk.SpanExporter, io.Closer, error)
 
-var exporters = map[string]makeExporter{
+var exporterFactories = map[string]exporterFactory{
 	None: func(context.Context, Options) (sdk.SpanExporter, io.Closer, error) { return nil, nil, nil },
 	"stdout": func(context.Context, Options) (sdk.SpanExporter, io.Closer, error) {
 		e, err := stdouttrace.New()
 		return e, nil, err
 	},
-	"file": openFile,
+	"file": newFileExporter,
 	"otlp": func(ctx context.Context, o Options) (sdk.SpanExporter, io.Closer, error) {
 		e, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpoint(o.Endpoint), otlptracehttp.WithInsecure())
 		return e, nil, err
@@ -61,7 +64,9 @@
 
 const traceFileMode = 0o600
 
-func openFile(_ context.Context, o Options) (sdk.SpanExporter, io.Closer, error) {
+// newFileExporter creates an exporter that appends spans to the file of the
+// options.
+func newFileExporter(_ context.Context, o Options) (sdk.SpanExporter, io.Closer, error) {
 	f, err := os.OpenFile(o.File, os.O_CREATE|os.O_APPEND|os.O_WRONLY, traceFileMode)
 	if err != nil {
 		return nil, nil, err
@@ -70,29 +75,29 @@
 	return e, f, err
 }
 
-// Exporters lists the names of the exporters in order.
+// Exporters returns the names of the available exporters in alphabetical order.
 func Exporters() []string {
 	var names []string
-	for n := range exporters {
+	for n := range exporterFactories {
 		names = append(names, n)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// current makes the spans; nil while traces are off. It is set once, before
-// the process serves.
-var current trace.Tracer
+// activeTracer creates the spans. It is nil while tracing is disabled, and is
+// set once, before the process serves requests.
+var activeTracer trace.Tracer
 
 var propagator = propagation.TraceContext{}
 
-// On reports whether traces are on.
-func On() bool { return current != nil }
+// On reports whether tracing is enabled.
+func On() bool { return activeTracer != nil }
 
-// Start turns traces on for the process. The returned function exports what
-// is left and turns them off.
+// Start enables tracing for the process. The returned function exports the
+// remaining spans and disables tracing.
 func Start(ctx context.Context, o Options) (func(context.Context) error, error) {
-	f, ok := exporters[o.Exporter]
+	f, ok := exporterFactories[o.Exporter]
 	if !ok {
 		return nil, merry.Errorf("%w: %q: want one of %v", ErrExporter, o.Exporter, Exporters())
 	}
@@ -106,9 +111,9 @@
 	p := sdk.NewTracerProvider(sdk.WithBatcher(e), sdk.WithSampler(sampler(o.Ratio)))
 	otel.SetTracerProvider(p)
 	otel.SetTextMapPropagator(propagator)
-	current = p.Tracer("rattanhoist", trace.WithInstrumentationAttributes(attribute.String("process", o.Process)))
+	activeTracer = p.Tracer("rattanhoist", trace.WithInstrumentationAttributes(attribute.String("process", o.Process)))
 	return func(ctx context.Context) error {
-		current = nil
+		activeTracer = nil
 		err := p.Shutdown(ctx)
 		if file != nil {
 			err = errors.Join(err, file.Close())
@@ -117,15 +122,18 @@
 	}, nil
 }
 
-// sampler keeps a ratio of the traces that begin with a request, and none of
-// those that begin elsewhere: the spans of gossip and of configuration streams
-// would outnumber those of requests.
+// sampler returns a sampler that keeps the given ratio of the traces that start
+// with a request, and drops all others: the spans of gossip and configuration
+// streams would outnumber those of requests.
 func sampler(ratio float64) sdk.Sampler {
 	return sdk.ParentBased(requestSampler{sdk.TraceIDRatioBased(ratio)})
 }
 
+// requestSampler drops every root span that is not a request.
 type requestSampler struct{ sdk.Sampler }
 
+// ShouldSample drops spans other than HopRequest and passes the others on to
+// the embedded sampler.
 func (s requestSampler) ShouldSample(p sdk.SamplingParameters) sdk.SamplingResult {
 	if p.Name != HopRequest {
 		return sdk.SamplingResult{Decision: sdk.Drop}
@@ -133,7 +141,7 @@
 	return s.Sampler.ShouldSample(p)
 }
 
-// Names of the hops of a request.
+// Hops are the steps of processing a request. They are used as span names.
 const (
 	HopRequest  = "request"
 	HopAdmit    = "admit"
@@ -145,40 +153,44 @@
 	HopClaim    = "claim"
 )
 
-// Span is one hop of a request; the zero value does nothing.
+// Span is the span of one hop or call. Its zero value is a no-op.
 type Span struct{ s trace.Span }
 
-// Begin starts the span of a hop. Call End when the hop has ended.
+// Begin starts a span for a hop. The caller must call End when the hop is
+// finished.
 func Begin(ctx context.Context, hop string) (context.Context, Span) {
-	if current == nil {
+	if activeTracer == nil {
 		return ctx, Span{}
 	}
-	ctx, s := current.Start(ctx, hop, trace.WithSpanKind(kinds[hop]))
+	ctx, s := activeTracer.Start(ctx, hop, trace.WithSpanKind(spanKinds[hop]))
 	return ctx, Span{s}
 }
 
-var kinds = map[string]trace.SpanKind{
+// spanKinds maps hops to their OpenTelemetry span kind. Other hops are
+// internal.
+var spanKinds = map[string]trace.SpanKind{
 	HopRequest:  trace.SpanKindServer,
 	HopDispatch: trace.SpanKindClient,
 	HopHome:     trace.SpanKindClient,
 }
 
-// traceparentHeader is the field of the W3C trace context.
+// traceparentHeader is the header name defined by W3C Trace Context.
 const traceparentHeader = "traceparent"
 
-// BeginCall starts the span of a call that goes over a stream, where the
-// context is of a trace that is kept; method is "/service/method" of gRPC.
+// BeginCall starts a client span for a call over a stream if the trace in ctx
+// is sampled. The method has the gRPC form "/service/method".
 func BeginCall(ctx context.Context, method string) (context.Context, Span) {
-	if current == nil || !trace.SpanContextFromContext(ctx).IsSampled() {
+	if activeTracer == nil || !trace.SpanContextFromContext(ctx).IsSampled() {
 		return ctx, Span{}
 	}
-	ctx, s := current.Start(ctx, strings.TrimPrefix(method, "/"), trace.WithSpanKind(trace.SpanKindClient))
+	ctx, s := activeTracer.Start(ctx, strings.TrimPrefix(method, "/"), trace.WithSpanKind(trace.SpanKindClient))
 	return ctx, Span{s}
 }
 
-// Traceparent returns the W3C trace context of a trace that is kept, or "".
+// Traceparent returns the W3C traceparent value for the trace in ctx, or an
+// empty string if the trace is not sampled.
 func Traceparent(ctx context.Context) string {
-	if current == nil || !trace.SpanContextFromContext(ctx).IsSampled() {
+	if activeTracer == nil || !trace.SpanContextFromContext(ctx).IsSampled() {
 		return ""
 	}
 	c := propagation.MapCarrier{}
@@ -186,24 +198,26 @@
 	return c.Get(traceparentHeader)
 }
 
-// BeginServed starts the span of a call that came over a stream; see BeginCall.
+// BeginServed starts the server span for a call received over a stream. The
+// traceparent comes from the caller; if it is empty, no span is started. The
+// method has the gRPC form "/service/method".
 func BeginServed(ctx context.Context, method, traceparent string) (context.Context, Span) {
-	if current == nil || traceparent == "" {
+	if activeTracer == nil || traceparent == "" {
 		return ctx, Span{}
 	}
 	ctx = propagator.Extract(ctx, propagation.MapCarrier{traceparentHeader: traceparent})
-	ctx, s := current.Start(ctx, strings.TrimPrefix(method, "/"), trace.WithSpanKind(trace.SpanKindServer))
+	ctx, s := activeTracer.Start(ctx, strings.TrimPrefix(method, "/"), trace.WithSpanKind(trace.SpanKindServer))
 	return ctx, Span{s}
 }
 
-// Set adds an attribute.
+// Set sets a string attribute on the span.
 func (s Span) Set(key, value string) {
 	if s.s != nil {
 		s.s.SetAttributes(attribute.String(key, value))
 	}
 }
 
-// End ends the span, as failed when err is set.
+// End ends the span. If err is not nil, the span status is set to Error.
 func (s Span) End(err error) {
 	if s.s == nil {
 		return
@@ -214,7 +228,8 @@
 	s.s.End()
 }
 
-// TraceID returns the trace of a context, or "".
+// TraceID returns the ID of the trace in ctx, or an empty string if there is
+// none.
 func TraceID(ctx context.Context) string {
 	if c := trace.SpanContextFromContext(ctx); c.HasTraceID() {
 		return c.TraceID().String()
@@ -222,25 +237,27 @@
 	return ""
 }
 
-// Inject writes the trace of a context into headers (W3C trace context).
+// Inject writes the trace context of ctx into HTTP headers, in W3C Trace
+// Context format.
 func Inject(ctx context.Context, h http.Header) {
-	if current != nil {
+	if activeTracer != nil {
 		propagator.Inject(ctx, propagation.HeaderCarrier(h))
 	}
 }
 
-// extract takes the trace of a caller from headers.
+// extract returns a context with the caller's trace context from HTTP headers.
 func extract(ctx context.Context, h http.Header) context.Context {
-	if current == nil {
+	if activeTracer == nil {
 		return ctx
 	}
 	return propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
-// Middleware makes the span of a request in an HTTP handler.
+// Middleware returns an HTTP handler that creates a HopRequest span around each
+// request to next.
 func Middleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if current == nil {
+		if activeTracer == nil {
 			next.ServeHTTP(w, r)
 			return
 		}
@@ -252,22 +269,23 @@
 	})
 }
 
-// Link names the span of a request for work that outlives it or that several
-// requests share; the zero value names none.
+// Link refers to the span of a request, for work that outlives the request or
+// that several requests share. The zero value refers to no span.
 type Link struct{ c trace.SpanContext }
 
-// LinkOf returns the link to a context's span.
+// LinkOf returns a link to the span in ctx, or the zero value if tracing is
+// disabled.
 func LinkOf(ctx context.Context) Link {
-	if current == nil {
+	if activeTracer == nil {
 		return Link{}
 	}
 	return Link{trace.SpanContextFromContext(ctx)}
 }
 
-// IsZero reports whether the link names no span.
+// IsZero reports whether the link refers to no span.
 func (l Link) IsZero() bool { return !l.c.IsValid() }
 
-// Resume returns a context whose spans belong to the link's.
+// Resume returns a context in which new spans are children of the linked span.
 func (l Link) Resume(ctx context.Context) context.Context {
 	if l.IsZero() {
 		return ctx
--- a/tracer/tracer_test.go
+++ b/tracer/tracer_test.go
@@ -17,11 +17,12 @@
 )
 
 const (
-	callersTrace = "4bf92f3577b34da6a3ce929d0e0e4736"
-	callersSpan  = "00f067aa0ba902b7"
+	callerTraceID = "4bf92f3577b34da6a3ce929d0e0e4736"
+	callerSpanID  = "00f067aa0ba902b7"
 )
 
-type exported struct {
+// exportedSpan holds the fields of an exported span that the tests check.
+type exportedSpan struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
 	Parent      struct{ SpanID string }
@@ -40,33 +41,34 @@
 		s.End(errors.New("endpoint is gone"))
 	}))
 	r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
-	r.Header.Set("traceparent", "00-"+callersTrace+"-"+callersSpan+"-01")
+	r.Header.Set("traceparent", "00-"+callerTraceID+"-"+callerSpanID+"-01")
 	h.ServeHTTP(httptest.NewRecorder(), r)
-	// Without a caller's trace and at ratio 0, and outside of a request,
-	// nothing is kept.
+	// No span is exported for a request without a caller's trace at ratio 0, or
+	// for a hop outside of a request.
 	h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/", nil))
 	_, s := tracer.Begin(t.Context(), tracer.HopBill)
 	s.End(nil)
 	g.Expect(stop(context.Background())).To(gomega.Succeed())
 
-	spans := read(t, file)
+	spans := readSpans(t, file)
 	g.Expect(spans).To(gomega.HaveLen(2))
 	dispatch, request := spans[0], spans[1]
 	g.Expect(request.Name).To(gomega.Equal(tracer.HopRequest))
-	g.Expect(request.Parent.SpanID).To(gomega.Equal(callersSpan))
+	g.Expect(request.Parent.SpanID).To(gomega.Equal(callerSpanID))
 	g.Expect(dispatch.Parent.SpanID).To(gomega.Equal(request.SpanContext.SpanID))
-	g.Expect(dispatch.SpanContext.TraceID).To(gomega.Equal(callersTrace))
+	g.Expect(dispatch.SpanContext.TraceID).To(gomega.Equal(callerTraceID))
 	g.Expect(dispatch.Status.Description).To(gomega.Equal("endpoint is gone"))
 }
 
-func read(t *testing.T, file string) []exported {
+// readSpans parses the spans that the exporter "file" has written.
+func readSpans(t *testing.T, file string) []exportedSpan {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var out []exported
+	var out []exportedSpan
 	for _, line := range strings.Split(strings.TrimSpace(string(b)), "\n") {
-		var e exported
+		var e exportedSpan
 		if err := json.Unmarshal([]byte(line), &e); err != nil {
 			t.Fatal(err)
 		}
@@ -123,7 +125,7 @@
 	bill.End(nil)
 	request.End(nil)
 	g.Expect(stop(context.Background())).To(gomega.Succeed())
-	spans := read(t, file)
+	spans := readSpans(t, file)
 	g.Expect(spans).To(gomega.HaveLen(2))
 	g.Expect(spans[0].Parent.SpanID).To(gomega.Equal(spans[1].SpanContext.SpanID))
 }
