--- a/loader/lines.go
+++ b/loader/lines.go
@@ -7,20 +7,24 @@
 	"gopkg.in/ini.v1"
 )
 
-// place is a section, or a key in one.
-type place struct{ section, key string }
+// location identifies a section, or a key in a section.
+type location struct{ section, key string }
 
-// lineIndex says where things stand in a settings file, for messages.
+// lineIndex maps the sections and keys of a settings file to line numbers, for
+// messages.
 type lineIndex struct {
-	// First holds the line of the first occurrence, from 1.
-	first map[place]int
-	// Repeated holds the line of each later occurrence: the parser takes the
-	// last one without a word, and an operator would read the first.
-	repeated map[int]place
+	// first holds the line number of the first occurrence, starting from 1.
+	first map[location]int
+	// repeated maps the line number of each further occurrence to its location.
+	// Duplicates are errors because the INI parser silently uses the last one,
+	// while an operator may read the first.
+	repeated map[int]location
 }
 
+// indexLines builds the line index of a settings file. The index is empty if
+// the file cannot be read.
 func indexLines(file string) lineIndex {
-	x := lineIndex{first: map[place]int{}, repeated: map[int]place{}}
+	x := lineIndex{first: map[location]int{}, repeated: map[int]location{}}
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return x
@@ -33,17 +37,18 @@
 		}
 		if strings.HasPrefix(line, "[") {
 			section = strings.TrimSpace(strings.Trim(line, "[]"))
-			x.add(place{section: section}, i+1)
+			x.add(location{section: section}, i+1)
 			continue
 		}
 		if key, _, ok := strings.Cut(line, "="); ok {
-			x.add(place{section, strings.TrimSpace(key)}, i+1)
+			x.add(location{section, strings.TrimSpace(key)}, i+1)
 		}
 	}
 	return x
 }
 
-func (x lineIndex) add(p place, line int) {
+// add records an occurrence of a section or key.
+func (x lineIndex) add(p location, line int) {
 	if x.first[p] == 0 {
 		x.first[p] = line
 		return
--- a/loader/loader.go
+++ b/loader/loader.go
@@ -1,8 +1,9 @@
-// Package loader reads the INI settings of a deployment and lists every fault
-// with its file, section and key.
+// Package loader reads and validates INI settings files. It reports every error
+// with its file, line, section and key.
 //
-// One file describes the whole deployment and lies on every VM; a process
-// picks its own section by kind and name.
+// With Load, one file describes a whole deployment and is present on every VM; a
+// process selects its own section by kind and name. With LoadNode, each VM has a
+// file of its own.
 package loader
 
 import (
@@ -14,53 +15,57 @@
 	"gopkg.in/ini.v1"
 )
 
-// ErrFaulty says that the settings have faults; the message lists them all.
+// ErrFaulty is returned for invalid settings. The error message lists every
+// problem.
 var ErrFaulty = merry.Sentinel("faulty settings")
 
-// Settings are the checked settings of a deployment; immutable.
+// Settings holds the validated settings of a deployment. It is immutable.
 type Settings struct {
 	file       string
 	deployment string
-	// DeploymentKey is the secret that members prove to each other.
+	// deploymentKey is the secret with which members authenticate to each
+	// other.
 	deploymentKey []byte
-	// OperatorKey is the secret that operators prove.
+	// operatorKey is the secret with which operators authenticate.
 	operatorKey []byte
-	// EndpointKey is the bearer secret of announcing endpoints.
+	// endpointKey is the bearer token of endpoints that announce themselves.
 	endpointKey []byte
 	processes   []Process
 	policy      Policy
 	trace       Trace
-	// TLS secures the connections between processes; nil leaves them plain.
+	// tls is the TLS configuration for connections between processes. If it is
+	// nil, the connections are unencrypted.
 	tls *tls.Config
-	// Warnings are worth a look and stop no process.
+	// warnings lists problems that do not prevent a process from starting.
 	warnings []string
 }
 
-// Deployment returns the deployment's name.
+// Deployment returns the name of the deployment.
 func (s *Settings) Deployment() string { return s.deployment }
 
-// DeploymentKey returns the members' secret.
+// DeploymentKey returns the secret with which members authenticate to each
+// other.
 func (s *Settings) DeploymentKey() []byte { return s.deploymentKey }
 
-// OperatorKey returns the operators' secret.
+// OperatorKey returns the secret with which operators authenticate.
 func (s *Settings) OperatorKey() []byte { return s.operatorKey }
 
-// EndpointKey returns the secret that announcing endpoints send.
+// EndpointKey returns the bearer token of endpoints that announce themselves.
 func (s *Settings) EndpointKey() []byte { return s.endpointKey }
 
-// Policy returns the chosen plug-ins and bounds.
+// Policy returns the selected plug-ins and limits.
 func (s *Settings) Policy() Policy { return s.policy }
 
-// Trace returns where spans go.
+// Trace returns the tracing settings.
 func (s *Settings) Trace() Trace { return s.trace }
 
-// TLS returns the settings of mutual TLS, or nil.
+// TLS returns the mutual TLS configuration, or nil if TLS is disabled.
 func (s *Settings) TLS() *tls.Config { return s.tls }
 
-// Warnings lists what is worth a look and stops no process.
+// Warnings returns the problems that do not prevent a process from starting.
 func (s *Settings) Warnings() []string { return s.warnings }
 
-// Processes returns the processes of a kind, or all for "".
+// Processes returns the processes of a kind, or all processes if kind is empty.
 func (s *Settings) Processes(kind string) []Process {
 	var out []Process
 	for _, p := range s.processes {
@@ -71,7 +76,7 @@
 	return out
 }
 
-// Process returns the process of a kind with a name.
+// Process returns the process with the given kind and name.
 func (s *Settings) Process(kind, name string) (Process, error) {
 	for _, p := range s.processes {
 		if p.kind == kind && p.name == name {
@@ -81,7 +86,7 @@
 	return Process{}, merry.Errorf("%w: %s has no section [%s %s]", ErrFaulty, s.file, kind, name)
 }
 
-// Zones returns the sorted names of the availability zones.
+// Zones returns the names of the availability zones in sorted order.
 func (s *Settings) Zones() []string {
 	var zones []string
 	for _, p := range s.processes {
@@ -91,59 +96,65 @@
 	return slices.Compact(zones)
 }
 
-// Load reads and checks a settings file. The error lists every fault.
+// Load reads and validates a settings file. The error lists every problem
+// found.
 func Load(file string) (*Settings, error) {
-	// A '#' or ';' within a value belongs to it: a path cut off there would
-	// name another folder, and two keepers would wait for one store.
+	// '#' and ';' inside a value do not start a comment. A path truncated there
+	// would name another directory, and two keepers would wait for one store.
 	f, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, file)
 	if err != nil {
 		return nil, merry.Errorf("%w: %s: %s", ErrFaulty, file, err.Error())
 	}
-	c := checker{file: file, lines: indexLines(file)}
-	s := c.settings(f)
+	c := parser{file: file, lines: indexLines(file)}
+	s := c.parseSettings(f)
 	s.warnings = c.warnings
-	if len(c.faults) > 0 {
-		return nil, merry.Errorf("%w:\n  %s", ErrFaulty, strings.Join(c.faults, "\n  "))
+	if len(c.errors) > 0 {
+		return nil, merry.Errorf("%w:\n  %s", ErrFaulty, strings.Join(c.errors, "\n  "))
 	}
 	return s, nil
 }
 
-func (c *checker) settings(f *ini.File) *Settings {
+// parseSettings reads all sections of the file and checks them against each
+// other.
+func (c *parser) parseSettings(f *ini.File) *Settings {
 	s := &Settings{file: c.file, policy: defaultPolicy(), trace: defaultTrace()}
 	c.checkRepeated()
 	for _, sec := range f.Sections() {
-		c.section(s, sec)
+		c.parseSection(s, sec)
 	}
 	if s.deployment == "" {
-		c.fault("deployment", "name", "missing")
+		c.addError("deployment", "name", "missing")
 	}
 	c.checkProcesses(s)
 	return s
 }
 
-func (c *checker) section(s *Settings, sec *ini.Section) {
+// parseSection reads one section into s, depending on its name.
+func (c *parser) parseSection(s *Settings, sec *ini.Section) {
 	kind, name, _ := strings.Cut(sec.Name(), " ")
 	switch {
 	case sec.Name() == ini.DefaultSection:
-		c.onlyKeys(sec)
+		c.checkKeys(sec)
 	case sec.Name() == "deployment":
-		c.deploymentSection(s, sec)
+		c.parseDeployment(s, sec)
 	case sec.Name() == "policy":
-		s.policy = c.policySection(sec)
+		s.policy = c.parsePolicy(sec)
 	case sec.Name() == "trace":
-		s.trace = c.traceSection(sec)
+		s.trace = c.parseTrace(sec)
 	case kind == KindRouter || kind == KindKeeper:
-		s.processes = append(s.processes, c.processSection(sec, kind, strings.TrimSpace(name)))
+		s.processes = append(s.processes, c.parseProcess(sec, kind, strings.TrimSpace(name)))
 	default:
-		c.fault(sec.Name(), "", "unknown section; want deployment, policy, trace, router NAME or keeper NAME")
+		c.addError(sec.Name(), "", "unknown section; want deployment, policy, trace, router NAME or keeper NAME")
 	}
 }
 
-func (c *checker) deploymentSection(s *Settings, sec *ini.Section) {
-	c.onlyKeys(sec, append([]string{"name", "key_file", "operator_key_file", "endpoint_key_file"}, tlsKeys...)...)
-	s.tls = c.tlsConfig(sec)
+// parseDeployment reads the deployment section: its name, secrets and TLS
+// files.
+func (c *parser) parseDeployment(s *Settings, sec *ini.Section) {
+	c.checkKeys(sec, append([]string{"name", "key_file", "operator_key_file", "endpoint_key_file"}, tlsKeys...)...)
+	s.tls = c.parseTLS(sec)
 	s.deployment = sec.Key("name").String()
-	s.deploymentKey = c.secret(sec, "key_file")
-	s.operatorKey = c.secret(sec, "operator_key_file")
-	s.endpointKey = c.secret(sec, "endpoint_key_file")
+	s.deploymentKey = c.readSecret(sec, "key_file")
+	s.operatorKey = c.readSecret(sec, "operator_key_file")
+	s.endpointKey = c.readSecret(sec, "endpoint_key_file")
 }
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -27,7 +27,8 @@
 	ginkgo.RunSpecs(t, "loader", c)
 }
 
-// copyIn copies a settings file of testdata beside freshly made keys.
+// copyIn copies a settings file from testdata to a temporary directory with new
+// key files, and returns its path.
 func copyIn(name string) string {
 	ginkgo.GinkgoHelper()
 	dir := ginkgo.GinkgoTB().TempDir()
@@ -56,10 +57,9 @@
 	comparer.Golden(ginkgo.GinkgoTB(), "faulty.golden", text+"\n")
 })
 
-// Symptom: two of three keepers never serve and log nothing.
-// Sequence: the data folders lie below a path with a '#' in it.
-// Cause: the rest of the line was taken for a comment, so that all keepers
-// opened one store.
+// Guards against truncated paths: two of three keepers never served and logged
+// nothing, because the rest of the path after a '#' was parsed as a comment and
+// all keepers opened the same store.
 var _ = ginkgo.It("takes comment signs in values", func() {
 	file := copyIn("good.ini")
 	b, err := os.ReadFile(file)
@@ -96,8 +96,8 @@
 
 const sample = "../docs/operate/rattanhoist.sample.ini"
 
-// This keeps the page of settings true: each key of the code stands in the
-// sample with its default, and no other.
+// Keeps the settings page up to date: the sample must list exactly the keys that
+// the code knows, with their defaults.
 var _ = ginkgo.It("has a sample that names every key", func() {
 	b, err := os.ReadFile(sample)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
--- a/loader/node.go
+++ b/loader/node.go
@@ -12,50 +12,55 @@
 	"gopkg.in/ini.v1"
 )
 
-// Node is the settings of one process of a fleet whose members find each other
-// through seeds; immutable. A platform renders one such file for each VM.
+// Node holds the settings of one process of a fleet whose members find each
+// other through seeds. It is immutable. A platform generates one such file for
+// each VM.
 type Node struct {
 	name, kind, zone string
-	// Internal is IP:PORT for the other processes.
+	// internal is the IP:PORT for connections from other processes.
 	internal string
 	seeds    []string
-	// FirstStart says that the whole fleet starts for the first time.
+	// firstStart is true if the whole fleet starts for the first time.
 	firstStart bool
 	serve      string
 	ready      string
 	control    string
 	metrics    string
 	dataDir    string
-	// MemoryBytes is what the process may use; 0 for no bound.
+	// memoryBytes is the memory limit of the process; 0 means no limit.
 	memoryBytes int64
-	// LinkRate is what the VM's link carries, in bytes a second; 0 for no bound.
+	// linkRate is the bandwidth of the VM's network link in bytes per second; 0
+	// means no limit.
 	linkRate float64
-	// LostDisks is how many disks may be lost at once.
+	// lostDisks is the number of disks that may be lost at the same time.
 	lostDisks int
 	heartbeat time.Duration
-	// Grace is how long after a request to stop the process is killed.
+	// grace is the time between a request to stop and the kill of the process.
 	grace time.Duration
-	// Drain is how long an endpoint serves after its leave was acknowledged.
+	// drain is how long an endpoint continues to serve after its leave was
+	// acknowledged.
 	drain        time.Duration
 	retryRatio   float64
 	retrySlack   float64
 	retryWindow  time.Duration
 	orderTimeout time.Duration
-	// Apply is within what time an acknowledged document must be in force.
+	// apply is the time within which an acknowledged document must take effect.
 	apply time.Duration
-	// Quarantine is how long a request is held back under which endpoints ended.
+	// quarantine is how long a request is held back after endpoints ended while
+	// serving it.
 	quarantine time.Duration
-	// Regions holds the region of each availability zone; empty where the platform
-	// names none.
+	// regions maps availability zones to regions. It is empty if the platform
+	// names no regions.
 	regions map[string]string
-	// ColdOvershoot and coldSlack bound what cold endpoints get.
+	// coldOvershoot and coldSlack limit the request rate of cold endpoints.
 	coldOvershoot, coldSlack float64
-	// LimitOvershoot, limitSlack and limitWindow bound the requests to rate limited endpoints.
+	// limitOvershoot, limitSlack and limitWindow limit the requests to
+	// endpoints that report a rate limit.
 	limitOvershoot, limitSlack float64
 	limitWindow                time.Duration
 }
 
-// Name returns the VM's name.
+// Name returns the name of the VM.
 func (n *Node) Name() string { return n.name }
 
 // Kind returns KindRouter or KindKeeper.
@@ -64,72 +69,81 @@
 // Zone returns the availability zone.
 func (n *Node) Zone() string { return n.zone }
 
-// Internal returns IP:PORT for the other processes.
+// Internal returns the IP:PORT for connections from other processes.
 func (n *Node) Internal() string { return n.internal }
 
-// Seeds returns the internal addresses of the keepers to begin with.
+// Seeds returns the internal addresses of the keepers to contact first.
 func (n *Node) Seeds() []string { return n.seeds }
 
 // FirstStart reports whether the whole fleet starts for the first time.
 func (n *Node) FirstStart() bool { return n.firstStart }
 
-// Serve returns IP:PORT for callers; routers only.
+// Serve returns the IP:PORT for callers. Only routers have it.
 func (n *Node) Serve() string { return n.serve }
 
-// Ready returns IP:PORT for the platform's question whether callers may come.
+// Ready returns the IP:PORT of the readiness check, with which the platform
+// decides whether callers are sent to this process.
 func (n *Node) Ready() string { return n.ready }
 
-// Control returns IP:PORT for operators and endpoints; keepers only.
+// Control returns the IP:PORT for operators and endpoints. Only keepers have
+// it.
 func (n *Node) Control() string { return n.control }
 
-// Metrics returns IP:PORT for counters, or "".
+// Metrics returns the IP:PORT for metrics, or an empty string.
 func (n *Node) Metrics() string { return n.metrics }
 
-// DataDir returns the data folder; keepers only.
+// DataDir returns the data directory. Only keepers have it.
 func (n *Node) DataDir() string { return n.dataDir }
 
-// MemoryBytes returns what the process may use; 0 for no bound.
+// MemoryBytes returns the memory limit of the process; 0 means no limit.
 func (n *Node) MemoryBytes() int64 { return n.memoryBytes }
 
-// LinkRate returns what the VM's link carries, in bytes a second; 0 for no bound.
+// LinkRate returns the bandwidth of the VM's network link in bytes per second;
+// 0 means no limit.
 func (n *Node) LinkRate() float64 { return n.linkRate }
 
-// LostDisks returns how many disks may be lost at once.
+// LostDisks returns the number of disks that may be lost at the same time.
 func (n *Node) LostDisks() int { return n.lostDisks }
 
-// Heartbeat returns the pause between heartbeats of an endpoint.
+// Heartbeat returns the interval between heartbeats of an endpoint.
 func (n *Node) Heartbeat() time.Duration { return n.heartbeat }
 
-// Grace returns the time from a request to stop to the kill.
+// Grace returns the time between a request to stop and the kill of the process.
 func (n *Node) Grace() time.Duration { return n.grace }
 
-// Drain returns how long an endpoint serves after its leave was acknowledged.
+// Drain returns how long an endpoint continues to serve after its leave was
+// acknowledged.
 func (n *Node) Drain() time.Duration { return n.drain }
 
-// Retries returns the fleet's bound on repeats: for each request, beside that,
-// and in what time.
+// Retries returns the retry limit of the fleet: within any window, at most
+// ratio retries per request, plus slack.
 func (n *Node) Retries() (ratio, slack float64, window time.Duration) {
 	return n.retryRatio, n.retrySlack, n.retryWindow
 }
 
-// OrderTimeout returns within what time an order must be acknowledged.
+// OrderTimeout returns the time within which an order must be acknowledged.
 func (n *Node) OrderTimeout() time.Duration { return n.orderTimeout }
 
-// Apply returns within what time an acknowledged document must be in force.
+// Apply returns the time within which an acknowledged document must take
+// effect.
 func (n *Node) Apply() time.Duration { return n.apply }
 
-// Quarantine returns how long a request is held back under which endpoints ended.
+// Quarantine returns how long a request is held back after endpoints ended
+// while serving it.
 func (n *Node) Quarantine() time.Duration { return n.quarantine }
 
-// Regions returns the region of each availability zone; callers must not change it.
+// Regions returns the region of each availability zone. Callers must not modify
+// the map.
 func (n *Node) Regions() map[string]string { return n.regions }
 
-// Cold returns the fleet's bound on a cold endpoint: in one second it gets at most
-// overshoot times its service's rate, and slack requests beside that.
+// Cold returns the fleet's limit for a cold endpoint: in one second, it
+// receives at most overshoot times the rate of its service, plus slack
+// requests.
 func (n *Node) Cold() (overshoot, slack float64) { return n.coldOvershoot, n.coldSlack }
 
-// RateLimit returns the fleet's bound on an endpoint that reports a rate limit: in any
-// window it gets at most overshoot times the requests that the limit allows, plus slack.
+// RateLimit returns the fleet's limit for an endpoint that reports a rate
+// limit: in any window, it receives at most overshoot times the requests that
+// the rate limit allows, plus slack.
 func (n *Node) RateLimit() (overshoot, slack float64, window time.Duration) {
 	return n.limitOvershoot, n.limitSlack, n.limitWindow
 }
@@ -147,7 +161,7 @@
 	defaultQuarantine   = time.Hour
 	defaultOvershoot    = 1
 	mebibyte            = 1 << 20
-	// megabit is in bytes.
+	// megabit is one megabit in bytes.
 	megabit = 1e6 / 8
 
 	defaultLimitOvershoot = 1.5
@@ -163,46 +177,47 @@
 	"limit_overshoot", "limit_slack", "limit_window_s",
 }
 
-// LoadNode reads and checks the settings of one process. The error lists
-// every fault; the warnings are unknown fields, which a newer platform may
-// send.
+// LoadNode reads and validates the settings of one process. The error lists
+// every problem found. The warnings list unknown fields, which a newer platform
+// may send.
 func LoadNode(file string) (*Node, []string, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, file)
 	if err != nil {
 		return nil, nil, merry.Errorf("%w: %s: %s", ErrFaulty, file, err.Error())
 	}
-	c := checker{file: file, lines: indexLines(file)}
-	n := c.node(f.Section("node"))
-	if len(c.faults) > 0 {
-		return nil, nil, merry.Errorf("%w:\n  %s", ErrFaulty, strings.Join(c.faults, "\n  "))
+	c := parser{file: file, lines: indexLines(file)}
+	n := c.parseNode(f.Section("node"))
+	if len(c.errors) > 0 {
+		return nil, nil, merry.Errorf("%w:\n  %s", ErrFaulty, strings.Join(c.errors, "\n  "))
 	}
 	return n, c.warnings, nil
 }
 
-func (c *checker) node(sec *ini.Section) *Node {
+// parseNode reads the node section.
+func (c *parser) parseNode(sec *ini.Section) *Node {
 	for _, k := range sec.KeyStrings() {
 		if !slices.Contains(nodeKeys, k) {
-			c.warn("node", k, "unknown field, ignored")
+			c.addWarning("node", k, "unknown field, ignored")
 		}
 	}
 	n := &Node{
-		name: c.required(sec, "name"), kind: c.required(sec, "kind"), zone: c.required(sec, "zone"),
+		name: c.readRequired(sec, "name"), kind: c.readRequired(sec, "kind"), zone: c.readRequired(sec, "zone"),
 		serve: sec.Key("serve").String(), ready: sec.Key("ready").String(), control: sec.Key("control").String(),
 		metrics: sec.Key("metrics").String(), dataDir: sec.Key("data_dir").String(),
 		heartbeat: defaultHeartbeat, grace: defaultGrace, drain: defaultDrain, retryRatio: defaultRetryRatio,
 		retrySlack: defaultRetrySlack, retryWindow: defaultRetryWindow, orderTimeout: defaultOrderTimeout, apply: defaultApply, quarantine: defaultQuarantine,
 		coldOvershoot: defaultOvershoot, limitOvershoot: defaultLimitOvershoot, limitSlack: defaultLimitSlack, limitWindow: defaultLimitWindow,
 	}
-	c.oneOf(sec, "kind", n.kind, []string{KindRouter, KindKeeper})
-	c.flag(sec, "first_start", &n.firstStart)
-	c.nodeAddresses(sec, n)
-	c.nodeBounds(sec, n)
-	c.regions(sec, n)
+	c.checkOneOf(sec, "kind", n.kind, []string{KindRouter, KindKeeper})
+	c.readBool(sec, "first_start", &n.firstStart)
+	c.parseNodeAddresses(sec, n)
+	c.parseNodeLimits(sec, n)
+	c.parseRegions(sec, n)
 	return n
 }
 
-// regions reads ZONE:REGION,....
-func (c *checker) regions(sec *ini.Section, n *Node) {
+// parseRegions reads the region of each zone in the form ZONE:REGION,ZONE:REGION.
+func (c *parser) parseRegions(sec *ini.Section, n *Node) {
 	n.regions = map[string]string{}
 	for _, entry := range strings.Split(sec.Key("zones").String(), ",") {
 		if strings.TrimSpace(entry) == "" {
@@ -210,83 +225,90 @@
 		}
 		zone, region, ok := strings.Cut(strings.TrimSpace(entry), ":")
 		if !ok || zone == "" || region == "" {
-			c.fault(sec.Name(), "zones", "want ZONE:REGION,..., not %q", entry)
+			c.addError(sec.Name(), "zones", "want ZONE:REGION,..., not %q", entry)
 			continue
 		}
 		n.regions[zone] = region
 	}
 }
 
-func (c *checker) nodeAddresses(sec *ini.Section, n *Node) {
+// parseNodeAddresses reads the addresses, the seeds and, for keepers, the data
+// directory.
+func (c *parser) parseNodeAddresses(sec *ini.Section, n *Node) {
 	for _, k := range []string{"serve", "ready", "control", "metrics"} {
-		c.address(sec, k, sec.Key(k).String())
+		c.checkAddress(sec, k, sec.Key(k).String())
 	}
-	port, _, _ := strings.Cut(c.required(sec, "internal_ports"), ",")
+	port, _, _ := strings.Cut(c.readRequired(sec, "internal_ports"), ",")
 	n.internal = sec.Key("ip").String() + ":" + port
-	c.address(sec, "internal_ports", n.internal)
-	for _, s := range strings.Split(c.required(sec, "seeds"), ",") {
+	c.checkAddress(sec, "internal_ports", n.internal)
+	for _, s := range strings.Split(c.readRequired(sec, "seeds"), ",") {
 		a, err := netip.ParseAddrPort(strings.TrimSpace(s))
 		if err != nil {
-			c.fault(sec.Name(), "seeds", "want IP:PORT,..., not %q", s)
+			c.addError(sec.Name(), "seeds", "want IP:PORT,..., not %q", s)
 			continue
 		}
-		// Ports are the same on all VMs, and a seed is named by the port that
-		// operators use.
+		// A seed is given with the port for operators. The internal port replaces
+		// it, which is the same on all VMs.
 		n.seeds = append(n.seeds, a.Addr().String()+":"+port)
 	}
 	if n.kind == KindRouter {
-		c.required(sec, "serve")
+		c.readRequired(sec, "serve")
 		return
 	}
-	c.required(sec, "control")
-	if n.dataDir = c.required(sec, "data_dir"); n.dataDir != "" {
+	c.readRequired(sec, "control")
+	if n.dataDir = c.readRequired(sec, "data_dir"); n.dataDir != "" {
 		n.dataDir = filepath.Clean(n.dataDir)
 	}
 }
 
-func (c *checker) nodeBounds(sec *ini.Section, n *Node) {
+// parseNodeLimits reads the resource limits, timeouts and retry and rate
+// limits.
+func (c *parser) parseNodeLimits(sec *ini.Section, n *Node) {
 	var memory, disks, link float64
-	c.number(sec, "memory_mb", &memory)
-	c.number(sec, "link_mbps", &link)
+	c.readNumber(sec, "memory_mb", &memory)
+	c.readNumber(sec, "link_mbps", &link)
 	n.linkRate = link * megabit
-	c.number(sec, "lost_disks", &disks)
+	c.readNumber(sec, "lost_disks", &disks)
 	n.memoryBytes, n.lostDisks = int64(memory*mebibyte), int(disks)
-	c.span(sec, "heartbeat_ms", time.Millisecond, &n.heartbeat)
-	c.span(sec, "grace_s", time.Second, &n.grace)
-	c.span(sec, "drain_ms", time.Millisecond, &n.drain)
-	c.span(sec, "retry_window_s", time.Second, &n.retryWindow)
-	c.span(sec, "order_timeout_ms", time.Millisecond, &n.orderTimeout)
-	c.span(sec, "apply_ms", time.Millisecond, &n.apply)
-	c.span(sec, "quarantine_s", time.Second, &n.quarantine)
-	c.number(sec, "retry_ratio", &n.retryRatio)
-	c.number(sec, "retry_slack", &n.retrySlack)
-	c.number(sec, "cold_overshoot", &n.coldOvershoot)
-	c.number(sec, "cold_slack", &n.coldSlack)
-	c.number(sec, "limit_overshoot", &n.limitOvershoot)
-	c.number(sec, "limit_slack", &n.limitSlack)
-	c.span(sec, "limit_window_s", time.Second, &n.limitWindow)
+	c.readTimeSpan(sec, "heartbeat_ms", time.Millisecond, &n.heartbeat)
+	c.readTimeSpan(sec, "grace_s", time.Second, &n.grace)
+	c.readTimeSpan(sec, "drain_ms", time.Millisecond, &n.drain)
+	c.readTimeSpan(sec, "retry_window_s", time.Second, &n.retryWindow)
+	c.readTimeSpan(sec, "order_timeout_ms", time.Millisecond, &n.orderTimeout)
+	c.readTimeSpan(sec, "apply_ms", time.Millisecond, &n.apply)
+	c.readTimeSpan(sec, "quarantine_s", time.Second, &n.quarantine)
+	c.readNumber(sec, "retry_ratio", &n.retryRatio)
+	c.readNumber(sec, "retry_slack", &n.retrySlack)
+	c.readNumber(sec, "cold_overshoot", &n.coldOvershoot)
+	c.readNumber(sec, "cold_slack", &n.coldSlack)
+	c.readNumber(sec, "limit_overshoot", &n.limitOvershoot)
+	c.readNumber(sec, "limit_slack", &n.limitSlack)
+	c.readTimeSpan(sec, "limit_window_s", time.Second, &n.limitWindow)
 }
 
-// number reads a number that is not negative; an empty field stands for its
-// default, since a platform leaves out what an installation doesn't know.
-func (c *checker) number(sec *ini.Section, key string, to *float64) {
+// readNumber sets *to to a non-negative number. An empty field keeps the
+// default, because a platform leaves out values that an installation does not
+// know.
+func (c *parser) readNumber(sec *ini.Section, key string, to *float64) {
 	text := sec.Key(key).String()
 	if text == "" {
 		return
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || v < 0 {
-		c.fault(sec.Name(), key, "want a number from 0 on, not %q", text)
+		c.addError(sec.Name(), key, "want a number from 0 on, not %q", text)
 		return
 	}
 	*to = v
 }
 
-func (c *checker) span(sec *ini.Section, key string, unit time.Duration, to *time.Duration) {
+// readTimeSpan sets *to to a positive number of units. An empty field keeps the
+// default.
+func (c *parser) readTimeSpan(sec *ini.Section, key string, unit time.Duration, to *time.Duration) {
 	v := float64(*to) / float64(unit)
-	c.number(sec, key, &v)
+	c.readNumber(sec, key, &v)
 	if v <= 0 {
-		c.fault(sec.Name(), key, "want more than 0")
+		c.addError(sec.Name(), key, "want more than 0")
 		return
 	}
 	*to = time.Duration(v * float64(unit))
--- a/loader/node_test.go
+++ b/loader/node_test.go
@@ -11,6 +11,8 @@
 	"rattanhoist.example/rattanhoist/loader"
 )
 
+// nodeFile writes a node settings file to a temporary directory and returns its
+// path.
 func nodeFile(t *testing.T, text string) string {
 	f := filepath.Join(t.TempDir(), "node.ini")
 	if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
@@ -19,7 +21,7 @@
 	return f
 }
 
-const wholeNode = `[node]
+const validNode = `[node]
 name = core-1
 kind = keeper
 zone = z
@@ -39,15 +41,15 @@
 new_field = 1
 `
 
-func TestNodeIsRead(t *testing.T) {
+func TestLoadNode(t *testing.T) {
 	g := gomega.NewWithT(t)
-	n, warnings, err := loader.LoadNode(nodeFile(t, wholeNode))
+	n, warnings, err := loader.LoadNode(nodeFile(t, validNode))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(n.Internal()).To(gomega.Equal("10.1.0.4:7340"))
 	g.Expect(n.Seeds()).To(gomega.Equal([]string{"10.1.0.4:7340", "10.2.0.4:7340"}))
 	g.Expect(n.FirstStart()).To(gomega.BeTrue())
 	g.Expect(n.Grace()).To(gomega.Equal(8 * time.Second))
-	g.Expect(n.Heartbeat()).To(gomega.Equal(time.Second), "an empty field stands for its default")
+	g.Expect(n.Heartbeat()).To(gomega.Equal(time.Second), "an empty field has its default")
 	ratio, _, _ := n.Retries()
 	g.Expect(ratio).To(gomega.Equal(0.3))
 	g.Expect(n.Regions()).To(gomega.Equal(map[string]string{"z": "north", "y": "south"}))
@@ -56,10 +58,10 @@
 	g.Expect(slack).To(gomega.BeZero())
 	overshoot, slack, window := n.RateLimit()
 	g.Expect([]any{overshoot, slack, window}).To(gomega.Equal([]any{2.0, 5.0, 4 * time.Second}), "missing fields have their defaults")
-	g.Expect(warnings).To(gomega.HaveLen(1), "an unknown field is told, not fatal")
+	g.Expect(warnings).To(gomega.HaveLen(1), "an unknown field causes a warning, not an error")
 }
 
-func TestEveryFaultOfANodeIsTold(t *testing.T) {
+func TestLoadNodeListsEveryError(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, _, err := loader.LoadNode(nodeFile(t, "[node]\nkind = other\nip = x\ninternal_ports = 1\nseeds = y\nfirst_start = maybe\ngrace_s = -1\nzones = a\n"))
 	g.Expect(err).To(gomega.MatchError(loader.ErrFaulty))
--- a/loader/policy.go
+++ b/loader/policy.go
@@ -11,8 +11,7 @@
 	"rattanhoist.example/rattanhoist/tracker"
 )
 
-// Policy holds the choices among plug-ins and bounds; every value has a
-// default.
+// Policy holds the selected plug-ins and limits. Every value has a default.
 type Policy struct {
 	picker           string
 	shedder          string
@@ -28,41 +27,44 @@
 	faultPortEnabled bool
 }
 
-// Picker returns the default picker plug-in.
+// Picker returns the name of the default picker plug-in.
 func (p Policy) Picker() string { return p.picker }
 
-// Shedder returns the plug-in that refuses requests under overload.
+// Shedder returns the name of the plug-in that refuses requests under overload.
 func (p Policy) Shedder() string { return p.shedder }
 
-// Placement returns the plug-in that places rights over zones.
+// Placement returns the name of the plug-in that distributes rights over zones.
 func (p Policy) Placement() string { return p.placement }
 
-// MaxBody returns the largest request body in bytes.
+// MaxBody returns the maximum size of a request body in bytes.
 func (p Policy) MaxBody() int64 { return p.maxBody }
 
-// DefaultTimeout returns the deadline of requests that give none.
+// DefaultTimeout returns the deadline of requests that do not specify one.
 func (p Policy) DefaultTimeout() time.Duration { return p.defaultTimeout }
 
-// MaxTimeout returns the longest deadline a request may ask for.
+// MaxTimeout returns the longest deadline that a request may specify.
 func (p Policy) MaxTimeout() time.Duration { return p.maxTimeout }
 
-// KeepAnswer returns how long a finished answer is kept for retries.
+// KeepAnswer returns how long a completed answer is kept for retries.
 func (p Policy) KeepAnswer() time.Duration { return p.keepAnswer }
 
-// KeepCharges returns how long single bills are kept at least.
+// KeepCharges returns the minimum time for which individual bills are kept.
 func (p Policy) KeepCharges() time.Duration { return p.keepCharges }
 
-// EndpointMaxAge returns the age from which an announcement is not used.
+// EndpointMaxAge returns the age from which the announcement of an endpoint is
+// ignored.
 func (p Policy) EndpointMaxAge() time.Duration { return p.endpointMaxAge }
 
-// GossipSiblings returns how many routers of its zone a router asks for news
-// of endpoints in each round.
+// GossipSiblings returns the number of routers in its zone that a router asks
+// for endpoint updates in each gossip round.
 func (p Policy) GossipSiblings() int { return int(p.gossipSiblings) }
 
-// DrainTimeout returns how long a graceful shutdown waits for requests.
+// DrainTimeout returns how long a graceful shutdown waits for requests to
+// finish.
 func (p Policy) DrainTimeout() time.Duration { return p.drainTimeout }
 
-// FaultPortEnabled reports whether tests may cut connections by command.
+// FaultPortEnabled reports whether tests may cut connections through the debug
+// address.
 func (p Policy) FaultPortEnabled() bool { return p.faultPortEnabled }
 
 // Defaults of the policy section.
@@ -76,15 +78,15 @@
 	defaultKeepAnswer     = 2 * time.Minute
 	defaultEndpointMaxAge = 3 * time.Second
 	defaultDrainTimeout   = 10 * time.Minute
-	// maxGossipSiblings is more than any zone has routers.
+	// maxGossipSiblings exceeds the number of routers in any zone.
 	maxGossipSiblings = 1000
 )
 
-// DefaultKeepCharges is how long single bills are kept where no setting says.
+// DefaultKeepCharges is how long individual bills are kept by default.
 const DefaultKeepCharges = 12 * time.Hour
 
-// keepChargesFactor leaves room in the life of a bill for the run, the time
-// that its answer is kept, the caller's last repetition, and clocks that differ.
+// keepChargesFactor ensures that a bill outlives the run of its request, the
+// time that the answer is kept, the caller's last retry and clock differences.
 const keepChargesFactor = 4
 
 func defaultPolicy() Policy {
@@ -102,30 +104,32 @@
 	"keep_answer", "keep_charges", "endpoint_max_age", "gossip_siblings", "drain_timeout", "fault_port",
 }
 
-func (c *checker) policySection(sec *ini.Section) Policy {
-	c.onlyKeys(sec, policyKeys...)
+// parsePolicy reads the policy section. If keep_charges is not set, the default
+// is raised to the minimum that max_timeout and keep_answer require.
+func (c *parser) parsePolicy(sec *ini.Section) Policy {
+	c.checkKeys(sec, policyKeys...)
 	p := defaultPolicy()
-	c.text(sec, "picker", &p.picker)
-	c.oneOf(sec, "picker", p.picker, picker.Names())
-	c.text(sec, "shedder", &p.shedder)
-	c.oneOf(sec, "shedder", p.shedder, admitter.Names())
-	c.text(sec, "placement", &p.placement)
-	c.oneOf(sec, "placement", p.placement, placer.Names())
-	c.bytes(sec, "max_body_bytes", &p.maxBody)
-	c.duration(sec, "default_timeout", &p.defaultTimeout)
-	c.duration(sec, "max_timeout", &p.maxTimeout)
-	c.duration(sec, "keep_answer", &p.keepAnswer)
-	c.duration(sec, "keep_charges", &p.keepCharges)
-	c.duration(sec, "endpoint_max_age", &p.endpointMaxAge)
-	c.count(sec, "gossip_siblings", &p.gossipSiblings, maxGossipSiblings)
-	c.duration(sec, "drain_timeout", &p.drainTimeout)
-	c.flag(sec, "fault_port", &p.faultPortEnabled)
+	c.readString(sec, "picker", &p.picker)
+	c.checkOneOf(sec, "picker", p.picker, picker.Names())
+	c.readString(sec, "shedder", &p.shedder)
+	c.checkOneOf(sec, "shedder", p.shedder, admitter.Names())
+	c.readString(sec, "placement", &p.placement)
+	c.checkOneOf(sec, "placement", p.placement, placer.Names())
+	c.readBytes(sec, "max_body_bytes", &p.maxBody)
+	c.readDuration(sec, "default_timeout", &p.defaultTimeout)
+	c.readDuration(sec, "max_timeout", &p.maxTimeout)
+	c.readDuration(sec, "keep_answer", &p.keepAnswer)
+	c.readDuration(sec, "keep_charges", &p.keepCharges)
+	c.readDuration(sec, "endpoint_max_age", &p.endpointMaxAge)
+	c.readCount(sec, "gossip_siblings", &p.gossipSiblings, maxGossipSiblings)
+	c.readDuration(sec, "drain_timeout", &p.drainTimeout)
+	c.readBool(sec, "fault_port", &p.faultPortEnabled)
 	if p.defaultTimeout > p.maxTimeout {
-		c.fault(sec.Name(), "default_timeout", "%s is longer than max_timeout, %s", p.defaultTimeout, p.maxTimeout)
+		c.addError(sec.Name(), "default_timeout", "%s is longer than max_timeout, %s", p.defaultTimeout, p.maxTimeout)
 	}
 	least := keepChargesFactor * (p.maxTimeout + p.keepAnswer)
 	if p.keepCharges < least && sec.HasKey("keep_charges") {
-		c.fault(sec.Name(), "keep_charges", "%s is too short: want %s at least, %d times max_timeout and keep_answer together", p.keepCharges, least, keepChargesFactor)
+		c.addError(sec.Name(), "keep_charges", "%s is too short: want %s at least, %d times max_timeout and keep_answer together", p.keepCharges, least, keepChargesFactor)
 	}
 	p.keepCharges = max(p.keepCharges, least)
 	return p
--- a/loader/tls.go
+++ b/loader/tls.go
@@ -10,14 +10,14 @@
 
 var tlsKeys = []string{"tls_cert", "tls_key", "tls_ca"}
 
-// tlsConfig reads the files of mutual TLS; none of the keys means no TLS, and
-// some of them are a fault: half of a set-up would fall back to plain text
-// without a word.
-func (c *checker) tlsConfig(sec *ini.Section) *tls.Config {
+// parseTLS reads the mutual TLS configuration. It returns nil if no TLS key is
+// set. Setting only some of the keys is an error, because an incomplete
+// configuration would silently fall back to unencrypted connections.
+func (c *parser) parseTLS(sec *ini.Section) *tls.Config {
 	files := map[string]string{}
 	for _, k := range tlsKeys {
 		if v := sec.Key(k).String(); v != "" {
-			files[k] = c.relative(v)
+			files[k] = c.resolvePath(v)
 		}
 	}
 	if len(files) == 0 {
@@ -25,7 +25,7 @@
 	}
 	for _, k := range tlsKeys {
 		if files[k] == "" {
-			c.fault(sec.Name(), k, "missing; tls_cert, tls_key and tls_ca come together")
+			c.addError(sec.Name(), k, "missing; tls_cert, tls_key and tls_ca come together")
 		}
 	}
 	if len(files) != len(tlsKeys) {
@@ -34,21 +34,22 @@
 	return c.loadTLS(sec, files["tls_cert"], files["tls_key"], files["tls_ca"])
 }
 
-func (c *checker) loadTLS(sec *ini.Section, cert, key, ca string) *tls.Config {
+// loadTLS builds a mutual TLS configuration from PEM files.
+func (c *parser) loadTLS(sec *ini.Section, cert, key, ca string) *tls.Config {
 	pair, err := tls.LoadX509KeyPair(cert, key)
 	if err != nil {
-		c.fault(sec.Name(), "tls_cert", "%v", err)
+		c.addError(sec.Name(), "tls_cert", "%v", err)
 		return nil
 	}
-	c.warnReadable(sec, "tls_key", key)
+	c.checkPermissions(sec, "tls_key", key)
 	text, err := os.ReadFile(ca)
 	if err != nil {
-		c.fault(sec.Name(), "tls_ca", "%v", err)
+		c.addError(sec.Name(), "tls_ca", "%v", err)
 		return nil
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		c.fault(sec.Name(), "tls_ca", "%s holds no certificate in PEM form", ca)
+		c.addError(sec.Name(), "tls_ca", "%s holds no certificate in PEM form", ca)
 		return nil
 	}
 	return &tls.Config{
--- a/loader/trace.go
+++ b/loader/trace.go
@@ -9,7 +9,7 @@
 	"rattanhoist.example/rattanhoist/tracer"
 )
 
-// Trace says where the spans of a process go.
+// Trace holds the tracing settings.
 type Trace struct {
 	exporter, file, endpoint string
 	sampleRatio              float64
@@ -18,13 +18,13 @@
 // Exporter returns the name of the exporter.
 func (t Trace) Exporter() string { return t.exporter }
 
-// File returns the file of the exporter "file".
+// File returns the output file of the exporter "file".
 func (t Trace) File() string { return t.file }
 
-// Endpoint returns host:port of the collector for the exporter "otlp".
+// Endpoint returns the host:port of the collector for the exporter "otlp".
 func (t Trace) Endpoint() string { return t.endpoint }
 
-// SampleRatio returns the part of new traces that is kept, 0 to 1.
+// SampleRatio returns the fraction of new traces to sample, from 0 to 1.
 func (t Trace) SampleRatio() float64 { return t.sampleRatio }
 
 // Defaults of the trace section.
@@ -43,26 +43,27 @@
 	}
 }
 
-func (c *checker) traceSection(sec *ini.Section) Trace {
-	c.onlyKeys(sec, traceKeys...)
+// parseTrace reads the trace section.
+func (c *parser) parseTrace(sec *ini.Section) Trace {
+	c.checkKeys(sec, traceKeys...)
 	t := defaultTrace()
-	c.text(sec, "exporter", &t.exporter)
-	c.text(sec, "file", &t.file)
-	c.text(sec, "endpoint", &t.endpoint)
-	t.file = c.relative(t.file)
-	c.oneOf(sec, "exporter", t.exporter, tracer.Exporters())
-	c.address(sec, "endpoint", t.endpoint)
+	c.readString(sec, "exporter", &t.exporter)
+	c.readString(sec, "file", &t.file)
+	c.readString(sec, "endpoint", &t.endpoint)
+	t.file = c.resolvePath(t.file)
+	c.checkOneOf(sec, "exporter", t.exporter, tracer.Exporters())
+	c.checkAddress(sec, "endpoint", t.endpoint)
 	if sec.HasKey("sample_ratio") {
 		v, err := strconv.ParseFloat(sec.Key("sample_ratio").String(), 64)
 		if err != nil || !(v >= 0 && v <= 1) {
-			c.fault(sec.Name(), "sample_ratio", "want a number from 0 to 1, not %q", sec.Key("sample_ratio").String())
+			c.addError(sec.Name(), "sample_ratio", "want a number from 0 to 1, not %q", sec.Key("sample_ratio").String())
 		}
 		t.sampleRatio = v
 	}
 	return t
 }
 
-// OptionalKeys returns the keys that have a default, by section.
+// OptionalKeys returns the keys that have a default value, by section.
 func OptionalKeys() map[string][]string {
 	return map[string][]string{"policy": slices.Clone(policyKeys), "trace": slices.Clone(traceKeys)}
 }
