--- a/endpoint.go
+++ b/endpoint.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Endpoint is an announced back end as one router sees it. What it is never
-// changes; its load, its age and whether it leaves are renewed in place, so
-// that readers of an older table see them at once.
+// Endpoint is a back end as one router knows it from its announcements. Its
+// identity is immutable. Its load, its age and whether it is leaving are updated
+// in place, so that readers of an older table see the update at once.
 type Endpoint struct {
-	// Name is unique in the deployment.
+	// Name is unique within the deployment.
 	name    string
 	service string
 	zone    string
@@ -17,26 +17,27 @@
 	// Labels are never changed after construction.
 	labels      map[string]string
 	incarnation Incarnation
-	// Capacity is the number of requests that run at once; at least 1.
+	// Capacity is the number of requests that can run concurrently; at least 1.
 	capacity      int64
 	checksFencing bool
-	// HeldUntil is when a damped endpoint may be used again.
+	// HeldUntil is when an endpoint held back for quick restarts may be used again.
 	heldUntil Moment
 	// Renewal is never nil.
 	renewal atomic.Pointer[renewal]
 }
 
-// renewal is the part of an announcement that changes; immutable.
+// renewal holds the fields that later announcements change. A renewal is immutable
+// and is replaced as a whole.
 type renewal struct {
 	load int64
-	// Heard is a moment at or before which the announcement was made, so
-	// that the age reckoned from it is never too small.
+	// Heard is no later than the time of the announcement, so that the age
+	// computed from it is never too small.
 	heard Moment
-	// Leaving is final for an incarnation.
+	// Leaving is never reset for an incarnation.
 	leaving bool
 }
 
-// EndpointFields carries the fields of an announcement to NewEndpoint.
+// EndpointFields holds the fields of an announcement, as arguments of NewEndpoint.
 type EndpointFields struct {
 	Name, Service, Zone, Address string
 	Labels                       map[string]string
@@ -45,11 +46,12 @@
 	Heard                        time.Time
 	Leaving                      bool
 	ChecksFencing                bool
-	// HeldUntil is zero for an endpoint that is not damped.
+	// HeldUntil is zero for an endpoint that is not held back for quick restarts.
 	HeldUntil Moment
 }
 
-// NewEndpoint returns the endpoint that the fields describe.
+// NewEndpoint returns an endpoint with the given fields. A capacity below 1 is
+// raised to 1.
 func NewEndpoint(f EndpointFields) *Endpoint {
 	e := &Endpoint{
 		name: f.Name, service: f.Service, zone: f.Zone, address: f.Address,
@@ -60,20 +62,21 @@
 	return e
 }
 
-// Renew replaces load and age. Only one writer at a time may call it.
+// Renew sets the load and the time of the latest announcement. Calls of Renew and
+// Leave must not overlap.
 func (e *Endpoint) Renew(load int64, heard Moment) {
 	e.renewal.Store(&renewal{load: load, heard: heard, leaving: e.Leaving()})
 }
 
-// Leave marks the endpoint as leaving, for good. Only one writer at a time
-// may call it.
+// Leave marks the endpoint as leaving permanently. Calls of Renew and Leave must
+// not overlap.
 func (e *Endpoint) Leave() {
 	r := *e.renewal.Load()
 	r.leaving = true
 	e.renewal.Store(&r)
 }
 
-// Name returns the unique name.
+// Name returns the name, which is unique within the deployment.
 func (e *Endpoint) Name() string { return e.name }
 
 // Service returns the service that the endpoint serves.
@@ -82,36 +85,37 @@
 // Zone returns the availability zone.
 func (e *Endpoint) Zone() string { return e.zone }
 
-// Address returns host:port of the HTTP server.
+// Address returns the host:port of the endpoint's HTTP server.
 func (e *Endpoint) Address() string { return e.address }
 
 // Labels returns the labels; callers must not change them.
 func (e *Endpoint) Labels() map[string]string { return e.labels }
 
-// Incarnation returns the start that made the announcement.
+// Incarnation returns the incarnation that made the announcement.
 func (e *Endpoint) Incarnation() Incarnation { return e.incarnation }
 
-// Capacity returns how many requests run at once.
+// Capacity returns the number of requests that can run concurrently.
 func (e *Endpoint) Capacity() int64 { return e.capacity }
 
-// ChecksFencing reports whether the endpoint refuses an order with an old
+// ChecksFencing reports whether the endpoint rejects orders with an outdated
 // fencing number.
 func (e *Endpoint) ChecksFencing() bool { return e.checksFencing }
 
-// Load returns the requests in progress as last reported.
+// Load returns the number of requests in progress that was last reported.
 func (e *Endpoint) Load() int64 { return e.renewal.Load().load }
 
-// Heard returns when the announcement was made at the earliest.
+// Heard returns the earliest time at which the latest announcement can have been made.
 func (e *Endpoint) Heard() time.Time { return e.renewal.Load().heard.Time() }
 
-// HeardMoment is Heard by both clocks.
+// HeardMoment returns the same time as Heard, as read from both clocks.
 func (e *Endpoint) HeardMoment() Moment { return e.renewal.Load().heard }
 
-// Leaving reports whether the endpoint takes no new work.
+// Leaving reports whether the endpoint is leaving and accepts no new requests.
 func (e *Endpoint) Leaving() bool { return e.renewal.Load().leaving }
 
-// UsableAt reports whether new work may be sent at now: the endpoint does not
-// leave, is not held back and was heard less than maxAge ago by both clocks.
+// UsableAt reports whether new requests may be sent at now: the endpoint is not
+// leaving, is not held back, and its latest announcement is less than maxAge old by
+// both clocks.
 func (e *Endpoint) UsableAt(now Moment, maxAge time.Duration) bool {
 	r := e.renewal.Load()
 	if r.leaving || !e.heldUntil.IsZero() && now.Before(e.heldUntil) {
--- a/moment.go
+++ b/moment.go
@@ -2,62 +2,63 @@
 
 import "time"
 
-// clockTolerance is how far the steady and the wall clock may drift apart
-// between two readings; adjustments that keep the wall clock right are far
-// below it.
-const clockTolerance = 500 * time.Millisecond
+// maxClockDrift is the accepted difference between the times that passed on the
+// monotonic and on the wall clock. The small adjustments that keep the wall clock
+// synchronized are far below it.
+const maxClockDrift = 500 * time.Millisecond
 
-// processStart is where this process's steady clock begins.
+// processStart is the zero point of this process's monotonic readings.
 var processStart = time.Now()
 
-// Moment is one reading of the steady and of the wall clock. The wall clock
-// jumps when it is set; the steady one may stand still while a VM is
-// suspended. Either alone would make an old announcement look fresh.
+// Moment is a simultaneous reading of the monotonic and the wall clock. The wall clock
+// jumps when it is set, and the monotonic clock may stop while a VM is suspended.
+// Either clock alone could make an old announcement look recent.
 type Moment struct {
-	steady time.Duration
-	// Wall is the time since 1970.
+	monotonic time.Duration
+	// Wall is the time since 1970, the Unix epoch.
 	wall time.Duration
 }
 
-// MomentOf returns both readings of a time from time.Now.
+// MomentOf converts a time from time.Now, which has both readings, to a Moment.
 func MomentOf(t time.Time) Moment {
-	return Moment{steady: t.Sub(processStart), wall: time.Duration(t.UnixNano())}
+	return Moment{monotonic: t.Sub(processStart), wall: time.Duration(t.UnixNano())}
 }
 
-// NewMoment returns a moment from two readings.
-func NewMoment(steady, wall time.Duration) Moment { return Moment{steady: steady, wall: wall} }
+// NewMoment returns a Moment with the given readings.
+func NewMoment(monotonic, wall time.Duration) Moment { return Moment{monotonic: monotonic, wall: wall} }
 
-// Steady returns the reading of the steady clock.
-func (m Moment) Steady() time.Duration { return m.steady }
+// Steady returns the reading of the monotonic clock, as time since the process start.
+func (m Moment) Steady() time.Duration { return m.monotonic }
 
-// Wall returns the reading of the wall clock since 1970.
+// Wall returns the reading of the wall clock, as time since 1970.
 func (m Moment) Wall() time.Duration { return m.wall }
 
-// Add returns the moment d later by both clocks.
+// Add returns the moment that is d later on both clocks.
 func (m Moment) Add(d time.Duration) Moment {
-	return Moment{steady: m.steady + d, wall: m.wall + d}
+	return Moment{monotonic: m.monotonic + d, wall: m.wall + d}
 }
 
-// IsZero reports whether the moment is unset; it is before every other.
+// IsZero reports whether the moment is unset. An unset moment is before every other.
 func (m Moment) IsZero() bool { return m == Moment{} }
 
-// Before reports whether m is earlier by the steady clock.
+// Before reports whether m is earlier than n on the monotonic clock.
 func (m Moment) Before(n Moment) bool {
 	if m.IsZero() || n.IsZero() {
 		return m.IsZero() && !n.IsZero()
 	}
-	return m.steady < n.steady
+	return m.monotonic < n.monotonic
 }
 
-// Since returns the time since an earlier moment. It reports false when the
-// clocks disagree: then neither is to be trusted.
+// Since returns the time elapsed since an earlier moment, the greater of both clocks.
+// It returns false if the clocks differ by more than maxClockDrift, because then
+// neither can be trusted.
 func (m Moment) Since(earlier Moment) (time.Duration, bool) {
-	steady, wall := m.steady-earlier.steady, m.wall-earlier.wall
-	if (steady - wall).Abs() > clockTolerance {
-		return max(steady, wall), false
+	monotonic, wall := m.monotonic-earlier.monotonic, m.wall-earlier.wall
+	if (monotonic - wall).Abs() > maxClockDrift {
+		return max(monotonic, wall), false
 	}
-	return max(steady, wall), true
+	return max(monotonic, wall), true
 }
 
-// Time returns the moment for comparisons with time.Now.
-func (m Moment) Time() time.Time { return processStart.Add(m.steady) }
+// Time returns the monotonic reading as a time that can be compared with time.Now.
+func (m Moment) Time() time.Time { return processStart.Add(m.monotonic) }
