--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -1,5 +1,5 @@
-// Package registrar keeps plug-ins by name. A plug-in registers itself
-// through a package-level value; look-up falls back to a default.
+// Package registrar provides registries of plug-ins by name. A plug-in registers itself
+// in the initializer of a package-level variable. Lookup falls back to a default.
 package registrar
 
 import (
@@ -7,26 +7,27 @@
 	"slices"
 )
 
-// Registry holds the plug-ins of one kind. It is filled while packages are
-// initialised and only read afterwards.
+// Registry holds the plug-ins of one kind. It isn't safe for concurrent writes: it is
+// filled during package initialization and only read afterwards.
 type Registry[P any] struct {
-	// Fallback is the name used for names that are not registered.
+	// Fallback is the name of the plug-in that Lookup returns for unregistered names.
 	fallback string
 	plugins  map[string]P
 }
 
-// New returns a registry whose default has the name.
+// New returns an empty registry whose default plug-in is registered under fallback.
 func New[P any](fallback string) *Registry[P] {
 	return &Registry[P]{fallback: fallback, plugins: map[string]P{}}
 }
 
-// Register adds a plug-in under a name and returns the name.
+// Register adds a plug-in under a name and returns the name, so that it can
+// initialize a package-level variable.
 func (r *Registry[P]) Register(name string, p P) string {
 	r.plugins[name] = p
 	return name
 }
 
-// Lookup returns a plug-in by name, or the default one and false.
+// Lookup returns the plug-in with the name and true, or the default and false.
 func (r *Registry[P]) Lookup(name string) (P, bool) {
 	if p, ok := r.plugins[name]; ok {
 		return p, true
@@ -34,5 +35,5 @@
 	return r.plugins[r.fallback], false
 }
 
-// Names lists the registered names in order.
+// Names returns the registered names in ascending order.
 func (r *Registry[P]) Names() []string { return slices.Sorted(maps.Keys(r.plugins)) }
