--- a/configurer/book.go
+++ b/configurer/book.go
@@ -1,6 +1,6 @@
-// Package configurer is the state machine of the configuration: it checks and
-// applies changes, remembers the first answer to every change id, and
-// compiles the immutable index that routers read.
+// Package configurer implements the replicated state machine of the
+// configuration. It validates and applies changes, deduplicates them by change
+// ID, and compiles the immutable snapshots that routers read.
 package configurer
 
 import (
@@ -11,25 +11,27 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Book is the configuration with its history of answers. It is not safe for
-// concurrent use. Applying the same changes in the same order gives the same
-// book everywhere.
+// Book holds the keepers' configuration, the replies to past changes and the
+// most recent changes. It is deterministic: the same changes applied in the
+// same order give the same state on every keeper. It is not safe for
+// concurrent use.
 type Book struct {
 	version    uint64
 	workspaces map[string]*messenger.Workspace
 	services   map[string]*messenger.Service
 	statements map[string]*messenger.Statement
 	members    map[string]*messenger.Member
-	// Models and keys map what must be unique to its owner's name.
+	// models maps each model to the name of its service, and keys maps each key
+	// hash to the name of its workspace. Both must have a single owner.
 	models map[string]string
 	keys   map[string]string
-	// Digest is the sum of the hashes of all objects, so that a change costs
-	// only the objects that it touches.
+	// digest is the sum of the hashes of all objects. A sum can be updated
+	// incrementally, so a change hashes only the objects that it modifies.
 	digest  uint64
 	history history
 }
 
-// NewBook returns the empty configuration, version 0.
+// NewBook returns an empty configuration at version 0.
 func NewBook() *Book {
 	return &Book{
 		workspaces: map[string]*messenger.Workspace{},
@@ -45,21 +47,22 @@
 // Version returns the number of accepted changes.
 func (b *Book) Version() uint64 { return b.version }
 
-// Digest returns a digest of the configuration: two copies of one version
-// have the same.
+// Digest returns a digest of the configuration, which detects copies of the
+// same version that differ in content.
 func (b *Book) Digest() uint64 { return b.digest }
 
 // HasWorkspace reports whether a workspace exists.
 func (b *Book) HasWorkspace(name string) bool { return b.workspaces[name] != nil }
 
-// Answered returns the version that a change id was accepted as.
+// AcceptedVersion returns the version at which a change was accepted, or false
+// if the change ID is unknown, was rejected or is no longer retained.
 func (b *Book) Answered(changeID string) (uint64, bool) {
 	v, ok := b.history.answers[changeID]
 	return v, ok && v > 0
 }
 
-// Since returns the accepted changes after a version, or false where they are
-// no longer kept.
+// ChangesSince returns the changes accepted after a version, or false if some
+// of them are no longer retained.
 func (b *Book) Since(version uint64) ([]*messenger.Change, bool) {
 	n := uint64(len(b.history.recent))
 	if version >= b.version {
@@ -71,34 +74,37 @@
 	return b.history.recent[n-(b.version-version):], true
 }
 
-// Decide answers a change and applies it where it is accepted. Only the
-// change id and the base version decide, so that keepers of different
-// releases agree; Faults must have passed at the base version.
+// Decide accepts and applies a change, or rejects it as a conflict. The outcome
+// depends only on earlier replies, the Ahead flag and the base version, so that
+// keepers of different releases agree. The caller must have run Validate
+// successfully at the base version.
 func (b *Book) Decide(c *messenger.LogChange) *messenger.ProposeReply {
 	id := c.Change.ChangeId
 	if v, ok := b.history.answers[id]; ok {
-		return b.answer(v, c.Change)
+		return b.reply(v, c.Change)
 	}
 	if c.Ahead {
-		b.history.note(id, 0)
-		return b.answer(0, c.Change)
+		b.history.recordAnswer(id, 0)
+		return b.reply(0, c.Change)
 	}
 	if c.Change.BaseVersion != b.version {
-		return b.answer(0, c.Change)
+		return b.reply(0, c.Change)
 	}
 	b.Apply(c.Change)
-	b.history.note(id, b.version)
-	return b.answer(b.version, c.Change)
+	b.history.recordAnswer(id, b.version)
+	return b.reply(b.version, c.Change)
 }
 
-// Peek answers a change where no keeper will ever answer it otherwise: it is
-// accepted already, its base version is past, or it has faults at its base.
+// EarlyReply returns the reply to a change whose outcome is already final on
+// every keeper: the change ID has a recorded reply, the base version is
+// outdated, or the change is invalid at its base version. Otherwise it returns
+// false.
 func (b *Book) Peek(c *messenger.Change) (*messenger.ProposeReply, bool) {
 	if v, ok := b.history.answers[c.ChangeId]; ok {
-		return b.answer(v, c), true
+		return b.reply(v, c), true
 	}
 	if c.BaseVersion < b.version {
-		return b.answer(0, c), true
+		return b.reply(0, c), true
 	}
 	if faults := b.Faults(c); c.BaseVersion == b.version && len(faults) > 0 {
 		return &messenger.ProposeReply{Outcome: messenger.ChangeOutcome_CHANGE_OUTCOME_REFUSED, Version: b.version, Faults: faults}, true
@@ -106,8 +112,8 @@
 	return nil, false
 }
 
-// answer returns the acceptance as a version, or the conflict for version 0.
-func (b *Book) answer(version uint64, c *messenger.Change) *messenger.ProposeReply {
+// reply builds an acceptance at the given version, or a conflict if version is 0.
+func (b *Book) reply(version uint64, c *messenger.Change) *messenger.ProposeReply {
 	if version > 0 {
 		return &messenger.ProposeReply{Outcome: messenger.ChangeOutcome_CHANGE_OUTCOME_ACCEPTED, Version: version}
 	}
@@ -115,10 +121,10 @@
 	return &messenger.ProposeReply{Outcome: messenger.ChangeOutcome_CHANGE_OUTCOME_CONFLICT, Version: b.version, Since: since}
 }
 
-// Apply takes an accepted change in, as the next version.
+// Apply applies an accepted change and increments the version.
 func (b *Book) Apply(c *messenger.Change) {
 	b.version++
-	b.history.add(c)
+	b.history.appendChange(c)
 	for _, e := range c.Edits {
 		b.applyEdit(e)
 	}
@@ -135,24 +141,24 @@
 	case *messenger.Edit_DeleteService:
 		b.setService(k.DeleteService, nil)
 	case *messenger.Edit_PutStatement:
-		setIn(&b.digest, b.statements, kindStatement, k.PutStatement.Name, k.PutStatement)
+		setObject(&b.digest, b.statements, kindStatement, k.PutStatement.Name, k.PutStatement)
 	case *messenger.Edit_DeleteStatement:
-		setIn(&b.digest, b.statements, kindStatement, k.DeleteStatement, nil)
+		setObject(&b.digest, b.statements, kindStatement, k.DeleteStatement, nil)
 	case *messenger.Edit_PutMember:
-		setIn(&b.digest, b.members, kindMember, k.PutMember.Name, k.PutMember)
+		setObject(&b.digest, b.members, kindMember, k.PutMember.Name, k.PutMember)
 	case *messenger.Edit_DeleteMember:
-		setIn(&b.digest, b.members, kindMember, k.DeleteMember, nil)
+		setObject(&b.digest, b.members, kindMember, k.DeleteMember, nil)
 	}
 }
 
 func (b *Book) setWorkspace(name string, w *messenger.Workspace) {
-	b.moveKeys(name, w)
-	setIn(&b.digest, b.workspaces, kindWorkspace, name, w)
+	b.updateKeyOwners(name, w)
+	setObject(&b.digest, b.workspaces, kindWorkspace, name, w)
 }
 
-func (b *Book) moveKeys(name string, w *messenger.Workspace) {
+func (b *Book) updateKeyOwners(name string, w *messenger.Workspace) {
 	for _, h := range b.workspaces[name].GetKeyHashes() {
-		disown(b.keys, string(h), name)
+		releaseKey(b.keys, string(h), name)
 	}
 	for _, h := range w.GetKeyHashes() {
 		b.keys[string(h)] = name
@@ -161,38 +167,40 @@
 
 func (b *Book) setService(name string, s *messenger.Service) {
 	for _, m := range b.services[name].GetModels() {
-		disown(b.models, m, name)
+		releaseKey(b.models, m, name)
 	}
 	for _, m := range s.GetModels() {
 		b.models[m] = name
 	}
-	setIn(&b.digest, b.services, kindService, name, s)
+	setObject(&b.digest, b.services, kindService, name, s)
 }
 
-// disown frees a key unless another object of the same change has it already.
-func disown(owners map[string]string, key, owner string) {
+// releaseKey removes a key from owners, unless an earlier edit of the same
+// change has already assigned it to another object.
+func releaseKey(owners map[string]string, key, owner string) {
 	if owners[key] == owner {
 		delete(owners, key)
 	}
 }
 
-// setIn replaces or, with a nil value, deletes an object, and keeps the digest.
-func setIn[T interface {
+// setObject replaces an object, or deletes it if value is nil, and updates the
+// digest.
+func setObject[T interface {
 	comparable
 	proto.Message
 }](digest *uint64, m map[string]T, kind, name string, value T) {
 	var none T
 	if old, ok := m[name]; ok {
-		*digest -= hash(kind, old)
+		*digest -= objectDigest(kind, old)
 		delete(m, name)
 	}
 	if value != none {
-		*digest += hash(kind, value)
+		*digest += objectDigest(kind, value)
 		m[name] = value
 	}
 }
 
-// Configuration returns the whole configuration in name order.
+// Configuration returns the whole configuration, with objects sorted by name.
 func (b *Book) Configuration() *messenger.Configuration {
 	return &messenger.Configuration{
 		Version:    b.version,
@@ -220,7 +228,8 @@
 	return out
 }
 
-// Load replaces the book by a configuration, without its history of answers.
+// Load replaces the state with a configuration and clears the history of
+// replies and changes.
 func (b *Book) Load(c *messenger.Configuration) {
 	*b = *NewBook()
 	b.version = c.Version
@@ -231,9 +240,9 @@
 		b.setService(s.Name, s)
 	}
 	for _, s := range c.Statements {
-		setIn(&b.digest, b.statements, kindStatement, s.Name, s)
+		setObject(&b.digest, b.statements, kindStatement, s.Name, s)
 	}
 	for _, m := range c.Members {
-		setIn(&b.digest, b.members, kindMember, m.Name, m)
+		setObject(&b.digest, b.members, kindMember, m.Name, m)
 	}
 }
--- a/configurer/book_test.go
+++ b/configurer/book_test.go
@@ -25,8 +25,8 @@
 	return &messenger.LogChange{Change: &messenger.Change{ChangeId: id, BaseVersion: base, Edits: edits}}
 }
 
-// TestEveryFaultListed: symptom, an operator mends one fault, resends and
-// meets the next. Cause: a check that ends at the first fault.
+// TestEveryFaultListed guards against validation that stops at the first error.
+// An operator would fix one error, resend the change and get the next error.
 func TestEveryFaultListed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := configurer.NewBook()
@@ -53,10 +53,10 @@
 	g.Expect(b.Faults(change("b", 1, putWorkspace("w", 3), putWorkspace("other", 1)).Change)).To(gomega.BeEmpty())
 }
 
-// TestFirstAnswerStays: symptom, a resend is answered otherwise than the
-// first time. Sequence: a change is accepted, others follow, a snapshot is
-// taken and restored, the change is sent again; another whose base was ahead
-// is sent again once the version has reached it.
+// TestFirstAnswerStays guards against a resent change getting a different reply
+// than the first time. An accepted change is sent again after other changes and
+// a restored snapshot. A change whose base version was ahead is sent again once
+// the configuration has reached that version.
 func TestFirstAnswerStays(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := configurer.NewBook()
@@ -79,8 +79,9 @@
 	g.Expect(c.Version()).To(gomega.Equal(uint64(2)))
 }
 
-// TestHorizonNeverCountsTwice: symptom, a change sent again after its answer
-// is forgotten counts twice. Cause: only the change id told resends apart.
+// TestHorizonNeverCountsTwice guards against applying a change twice if it is
+// sent again after its reply was discarded. This happens if duplicates are
+// detected only by change ID.
 func TestHorizonNeverCountsTwice(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := configurer.NewBook()
@@ -92,8 +93,8 @@
 	g.Expect(b.Version()).To(gomega.Equal(v))
 }
 
-// TestDigestFollowsContent: symptom, two copies of one version differ and
-// nobody notices.
+// TestDigestFollowsContent guards against undetected differences between two
+// copies of the same version.
 func TestDigestFollowsContent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a, b := configurer.NewBook(), configurer.NewBook()
@@ -147,8 +148,9 @@
 	b.ReportMetric(float64(size), "bytes")
 }
 
-// TestFaultsCostOnlyTheChange: symptom, every change stalls the leader for as
-// long as a copy of all workspaces takes. The bound is loose, for busy hosts.
+// TestFaultsCostOnlyTheChange guards against validation that copies all
+// workspaces, which blocks the leader on every change. The time limit is
+// generous because the host may be busy.
 func TestFaultsCostOnlyTheChange(t *testing.T) {
 	k := large()
 	c := change("x", k.Version(), putWorkspace("workspace-7", 9)).Change
--- a/configurer/copy_test.go
+++ b/configurer/copy_test.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	copyWorlds = 20
-	copySteps  = 60
-	copyNames  = 150
-	copyKeys   = 300
+	simulationCount = 20
+	simulationSteps = 60
+	copyNames       = 150
+	copyKeys        = 300
 )
 
-// copyWorld feeds the same changes to a keeper's book and to a router's copy,
-// and keeps snapshots with what each of them must go on showing.
-type copyWorld struct {
+// copySimulation applies the same changes to a keeper's Book and a router's Copy.
+// It retains every snapshot with the content that it must continue to return.
+type copySimulation struct {
 	random *rand.Rand
 	book   *configurer.Book
 	copied *configurer.Copy
-	// Now maps names to workspaces, owners keys to names.
-	now    map[string]*messenger.Workspace
-	owners map[int]string
-	taken  []takenSnapshot
+	// workspaces maps names to workspaces, and owners maps keys to the names of
+	// their workspaces.
+	workspaces map[string]*messenger.Workspace
+	owners     map[int]string
+	taken      []takenSnapshot
 }
 
 type takenSnapshot struct {
@@ -40,18 +41,18 @@
 	picker   string
 }
 
-func newCopyWorld(seed uint64) *copyWorld {
-	return &copyWorld{
+func newCopySimulation(seed uint64) *copySimulation {
+	return &copySimulation{
 		random: rand.New(rand.NewPCG(seed, 1)), book: configurer.NewBook(), copied: configurer.NewCopy(),
-		now: map[string]*messenger.Workspace{}, owners: map[int]string{},
+		workspaces: map[string]*messenger.Workspace{}, owners: map[int]string{},
 	}
 }
 
 func copyKey(i int) string { return fmt.Sprintf("key-%d", i) }
 
-// edit puts or deletes a workspace; a key moves to its new owner, whose old
-// owner is put without it before or after.
-func (w *copyWorld) edit() []*messenger.Edit {
+// edit returns edits that put or delete a random workspace. If it assigns a key
+// of another workspace, it also deletes that workspace, in random order.
+func (w *copySimulation) edit() []*messenger.Edit {
 	name := fmt.Sprintf("workspace-%d", w.random.IntN(copyNames))
 	if w.random.IntN(4) == 0 {
 		w.drop(name)
@@ -73,18 +74,18 @@
 		m.KeyHashes = append(m.KeyHashes, sum[:])
 		w.owners[k] = name
 	}
-	w.now[name] = m
+	w.workspaces[name] = m
 	out[0].Kind = &messenger.Edit_PutWorkspace{PutWorkspace: m}
 	w.random.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out
 }
 
-func (w *copyWorld) drop(name string) {
-	delete(w.now, name)
+func (w *copySimulation) drop(name string) {
+	delete(w.workspaces, name)
 	maps.DeleteFunc(w.owners, func(_ int, owner string) bool { return owner == name })
 }
 
-func (w *copyWorld) step(n int) {
+func (w *copySimulation) step(n int) {
 	c := &messenger.Change{ChangeId: fmt.Sprint(n), BaseVersion: w.book.Version()}
 	for range 1 + w.random.IntN(10) {
 		c.Edits = append(c.Edits, w.edit()...)
@@ -98,12 +99,13 @@
 		w.copied.Apply(c)
 	}
 	w.taken = append(w.taken, takenSnapshot{
-		snapshot: w.copied.Snapshot(), version: w.book.Version(), want: maps.Clone(w.now), owners: maps.Clone(w.owners), picker: picker,
+		snapshot: w.copied.Snapshot(), version: w.book.Version(), want: maps.Clone(w.workspaces), owners: maps.Clone(w.owners), picker: picker,
 	})
 }
 
-// fault returns the first thing that the snapshot shows otherwise, or "".
-func (t takenSnapshot) fault() string {
+// mismatch describes the first difference between the snapshot and its expected
+// content, or returns "".
+func (t takenSnapshot) mismatch() string {
 	service, err := t.snapshot.ServiceByModel("m")
 	if err != nil || service.Picker != t.picker || t.snapshot.Version() != t.version {
 		return fmt.Sprintf("version %d shows version %d, service %v", t.version, t.snapshot.Version(), service)
@@ -125,31 +127,29 @@
 	return ""
 }
 
-// TestCopyFollowsBook
-// Symptom: two routers of one version decide differently, or a request sees
-// the configuration change under it.
-// Sequence: changes that put, delete and move keys, each followed by a
-// snapshot, with whole copies now and then; then all snapshots are read again.
-// Cause it guards against: a copy that takes a change otherwise than the
-// keeper's book, and snapshots that share memory which a later change writes.
+// TestCopyFollowsBook guards against routers at the same version that decide
+// differently, because a Copy applies a change differently than the keeper's
+// Book, and against a configuration that changes during a request, because a
+// later change writes to memory shared with a snapshot. The test takes a snapshot
+// after each of many changes that put, delete and move keys, sometimes reloads
+// the whole configuration, and checks all snapshots at the end.
 func TestCopyFollowsBook(t *testing.T) {
 	g := gomega.NewWithT(t)
-	for seed := range copyWorlds {
-		w := newCopyWorld(uint64(seed))
-		for n := range copySteps {
+	for seed := range simulationCount {
+		w := newCopySimulation(uint64(seed))
+		for n := range simulationSteps {
 			w.step(n)
 			g.Expect(w.copied.Digest()).To(gomega.Equal(w.book.Digest()), "seed %d, version %d", seed, w.book.Version())
 		}
 		for _, s := range w.taken {
-			g.Expect(s.fault()).To(gomega.BeEmpty(), "seed %d", seed)
+			g.Expect(s.mismatch()).To(gomega.BeEmpty(), "seed %d", seed)
 		}
 	}
 }
 
-// TestCopyTakesNewStatements
-// Symptom: a router goes on granting what a statement no longer allows.
-// Sequence: a statement is put, a snapshot taken, the statement replaced.
-// Cause it guards against: rules kept over a change of statements.
+// TestCopyTakesNewStatements guards against a router that still grants access
+// which a replaced statement no longer allows, because the compiled rules were
+// not invalidated when the statement changed.
 func TestCopyTakesNewStatements(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := configurer.NewCopy()
--- a/configurer/digest.go
+++ b/configurer/digest.go
@@ -5,7 +5,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Kinds of objects in a digest.
+// Object kinds, which are hashed together with each object.
 const (
 	kindWorkspace = "workspace"
 	kindService   = "service"
@@ -13,12 +13,12 @@
 	kindMember    = "member"
 )
 
-// hash returns the part of one object in the digest.
-func hash(kind string, m proto.Message) uint64 {
+// objectDigest returns the contribution of one object to the digest.
+func objectDigest(kind string, m proto.Message) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(kind)
-	// Objects of a checked change marshal; an error would leave the same part
-	// out of every copy.
+	// Objects of a validated change can always be marshaled. If one could not,
+	// every copy would omit the same content.
 	b, _ := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	_, _ = d.Write(b)
 	return d.Sum64()
--- a/configurer/history.go
+++ b/configurer/history.go
@@ -6,31 +6,35 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Horizons of what a book remembers beside the configuration.
+// Limits on the history that a Book retains.
 const (
-	// AnswerHorizon is the number of change ids whose answer is kept, 6 days
-	// at 3,200 changes a day. A resend of an older one meets a conflict, since
-	// its base version is past: it never counts twice.
+	// MaxAnswers is the number of change IDs whose reply is retained, enough for
+	// 6 days at 3,200 changes a day. An older change that is sent again gets a
+	// conflict because its base version is outdated, so it is never applied
+	// twice.
 	AnswerHorizon = 20000
-	// recentMost and recentBytes bound the changes kept for deltas.
-	recentMost  = 2048
-	recentBytes = 8 << 20
+	// maxRecentChanges and maxRecentBytes limit the changes retained for sending
+	// deltas to subscribers.
+	maxRecentChanges = 2048
+	maxRecentBytes   = 8 << 20
 )
 
-// history remembers answers and the last changes.
+// history retains the replies to past changes and the most recent changes.
 type history struct {
-	// Answers maps change ids to the version accepted as, 0 for a conflict.
+	// answers maps each change ID to the version at which the change was
+	// accepted, or 0 for a conflict.
 	answers map[string]uint64
-	// Order lists the ids of answers, oldest first.
+	// order lists the keys of answers, oldest first.
 	order []string
-	// Recent holds the last accepted changes, oldest first.
+	// recent holds the most recently accepted changes, oldest first, and bytes
+	// their total encoded size.
 	recent []*messenger.Change
 	bytes  int
 }
 
 func newHistory() history { return history{answers: map[string]uint64{}} }
 
-func (h *history) note(id string, version uint64) {
+func (h *history) recordAnswer(id string, version uint64) {
 	h.answers[id] = version
 	h.order = append(h.order, id)
 	if len(h.order) > AnswerHorizon {
@@ -39,16 +43,16 @@
 	}
 }
 
-func (h *history) add(c *messenger.Change) {
+func (h *history) appendChange(c *messenger.Change) {
 	h.recent = append(h.recent, c)
 	h.bytes += proto.Size(c)
-	for len(h.recent) > recentMost || h.bytes > recentBytes && len(h.recent) > 1 {
+	for len(h.recent) > maxRecentChanges || h.bytes > maxRecentBytes && len(h.recent) > 1 {
 		h.bytes -= proto.Size(h.recent[0])
 		h.recent = h.recent[1:]
 	}
 }
 
-// Snapshot returns the whole book, for a new copy.
+// Snapshot serializes the configuration and its history, for a new replica.
 func (b *Book) Snapshot() ([]byte, error) {
 	s := &messenger.BookSnapshot{Configuration: b.Configuration(), Recent: b.history.recent}
 	for _, id := range b.history.order {
@@ -57,7 +61,7 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(s)
 }
 
-// Restore replaces the book by a snapshot.
+// Restore replaces the state with a serialized snapshot.
 func (b *Book) Restore(snapshot []byte) error {
 	s := &messenger.BookSnapshot{}
 	if err := proto.Unmarshal(snapshot, s); err != nil {
@@ -65,10 +69,10 @@
 	}
 	b.Load(s.Configuration)
 	for _, a := range s.Answers {
-		b.history.note(a.ChangeId, a.Version)
+		b.history.recordAnswer(a.ChangeId, a.Version)
 	}
 	for _, c := range s.Recent {
-		b.history.add(c)
+		b.history.appendChange(c)
 	}
 	return nil
 }
--- a/configurer/labels.go
+++ b/configurer/labels.go
@@ -6,20 +6,23 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// labelSet is the labels of one or more workspaces.
+// labelSet holds labels that one or more workspaces share.
 type labelSet struct {
-	// Packed is what packLabels made; immutable.
+	// packed is the encoding by packLabels; immutable.
 	packed string
-	// Users counts the workspaces of the copy; snapshots don't read it.
+	// users is the number of workspaces in the Copy that use the set. Snapshots
+	// don't read it.
 	users int
 }
 
-// labelSets finds label sets by their packed form. It is not safe for
-// concurrent use. The package unique would do the same for 130 bytes more
-// where every workspace has labels of its own.
+// labelSets interns label sets by their packed encoding. It is not safe for
+// concurrent use. The standard package unique would need 130 bytes more per
+// workspace if every workspace had different labels.
 type labelSets map[string]*labelSet
 
-func (l labelSets) take(m *messenger.Workspace) *labelSet {
+// acquire returns the set for a workspace's labels, which it creates if needed,
+// and increments its reference count.
+func (l labelSets) acquire(m *messenger.Workspace) *labelSet {
 	packed := packLabels(m.Labels)
 	s := l[packed]
 	if s == nil {
@@ -30,15 +33,16 @@
 	return s
 }
 
-// drop forgets a set that no workspace uses any more.
-func (l labelSets) drop(s *labelSet) {
+// release decrements a set's reference count and removes the set at zero.
+func (l labelSets) release(s *labelSet) {
 	s.users--
 	if s.users == 0 {
 		delete(l, s.packed)
 	}
 }
 
-// packLabels gives equal labels equal strings.
+// packLabels encodes labels as length-prefixed strings sorted by key, so that
+// equal labels have equal encodings.
 func packLabels(labels map[string]string) string {
 	var out []byte
 	for _, k := range sortedKeys(labels) {
--- a/configurer/labels_test.go
+++ b/configurer/labels_test.go
@@ -9,11 +9,10 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// TestLabelSetsGoWithTheirUsers
-// Symptom: a router's memory grows with every change of labels.
-// Sequence: one workspace is put again and again with other labels, a second
-// one shares the last of them, and both are deleted.
-// Cause it guards against: label sets that nobody uses are kept.
+// TestLabelSetsGoWithTheirUsers guards against a memory leak in routers: label
+// sets without users were retained, so memory grew with every change of labels.
+// The test replaces the labels of a workspace many times, lets a second
+// workspace share the last set, and deletes both.
 func TestLabelSetsGoWithTheirUsers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := NewCopy()
--- a/configurer/snapshot.go
+++ b/configurer/snapshot.go
@@ -13,37 +13,39 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Snapshot is a compiled, immutable configuration for the path of a request.
+// Snapshot is a compiled, immutable configuration used to handle requests.
 type Snapshot struct {
 	version uint64
-	// Names and keys hold the workspaces by the hashes of their names and of
+	// names and keys hold the workspaces by the hashes of their names and of
 	// their keys.
 	names, keys shards
 	*rules
-	// Granted maps pair to its Grant, filled as requests come: a
-	// pair is worked out once for each version, not for each request.
-	granted sync.Map
+	// grants caches a Grant for each grantKey. It is filled on demand, so that a
+	// grant is computed once per version rather than once per request.
+	grants sync.Map
 }
 
-// rules are compiled from services and statements; immutable. Versions that
-// differ in workspaces only share them.
+// rules holds the compiled services and statements; immutable. Versions that
+// differ only in workspaces share it.
 type rules struct {
 	services   map[string]*messenger.Service
 	byModel    map[string]*messenger.Service
-	statements []compiled
+	statements []compiledStatement
 }
 
-// pair names one workspace and one service.
-type pair struct{ workspace, service string }
+// grantKey identifies a workspace and a service by name.
+type grantKey struct{ workspace, service string }
 
-type compiled struct {
+// compiledStatement holds the parsed selectors of a statement.
+type compiledStatement struct {
 	workspaces, services, endpoints matcher.Selector
 }
 
-// labelName is the label that every object carries besides its own.
+// labelName is the implicit label that holds an object's name.
 const labelName = "name"
 
-// Compile indexes a configuration whose changes have all been checked.
+// Compile builds a snapshot of a configuration, whose changes must have been
+// validated.
 func Compile(m *messenger.Configuration) *Snapshot {
 	c := NewCopy()
 	c.Load(m)
@@ -64,9 +66,9 @@
 	return r
 }
 
-// addStatement leaves out a statement that does not parse: acceptance has
-// checked every selector, so this happens only with a damaged copy, and a
-// statement that grants nothing is the safe reading of it.
+// addStatement compiles a statement and ignores one that can't be parsed.
+// Selectors are validated before a change is accepted, so parsing fails only on
+// a damaged copy. Granting nothing is then the safe choice.
 func (r *rules) addStatement(t *messenger.Statement) {
 	w, err := matcher.Parse(t.Workspaces)
 	if err != nil {
@@ -80,7 +82,7 @@
 	if err != nil {
 		return
 	}
-	r.statements = append(r.statements, compiled{workspaces: w, services: v, endpoints: e})
+	r.statements = append(r.statements, compiledStatement{workspaces: w, services: v, endpoints: e})
 }
 
 // Version returns the configuration's version.
@@ -114,8 +116,8 @@
 	return v, nil
 }
 
-// ChatsMayBeOnce reports whether any service of models says that its requests
-// may not be repeated.
+// HasNonRepeatableModel reports whether any model service forbids repeating its
+// requests.
 func (s *Snapshot) ChatsMayBeOnce() bool {
 	for _, v := range s.byModel {
 		if v.NotRepeatable {
@@ -134,17 +136,18 @@
 	return v, nil
 }
 
-// Grant is what the statements allow one workspace for one service.
+// Grant holds the endpoint selectors of all statements that match one workspace
+// and one service.
 type Grant struct {
 	key       string
 	selectors []matcher.Selector
 }
 
-// Key names the matching statements: equal keys of one snapshot are equal
-// grants.
+// Key identifies the matching statements. Grants of the same snapshot are equal
+// if their keys are equal.
 func (g Grant) Key() string { return g.key }
 
-// Allows reports whether an endpoint may serve.
+// Allows reports whether an endpoint may serve the workspace's requests.
 func (g Grant) Allows(e *rattanhoist.Endpoint) bool {
 	for _, s := range g.selectors {
 		if s.Matches(e.Labels()) {
@@ -154,17 +157,17 @@
 	return false
 }
 
-// Grant returns what the statements allow the workspace for the service.
+// Grant returns the workspace's grant for the service, computed on first use.
 func (s *Snapshot) Grant(w *Workspace, v *messenger.Service) Grant {
-	k := pair{workspace: w.name, service: v.Name}
-	g, ok := s.granted.Load(k)
+	k := grantKey{workspace: w.name, service: v.Name}
+	g, ok := s.grants.Load(k)
 	if !ok {
-		g, _ = s.granted.LoadOrStore(k, s.makeGrant(w, v))
+		g, _ = s.grants.LoadOrStore(k, s.computeGrant(w, v))
 	}
 	return g.(Grant)
 }
 
-func (s *Snapshot) makeGrant(w *Workspace, v *messenger.Service) Grant {
+func (s *Snapshot) computeGrant(w *Workspace, v *messenger.Service) Grant {
 	var g Grant
 	var key []byte
 	wl, vl := withName(w.Labels(), w.name), withName(maps.Clone(v.Labels), v.Name)
@@ -178,7 +181,7 @@
 	return g
 }
 
-// withName adds the name to labels, which it may change.
+// withName adds the implicit name label. It modifies labels unless they are nil.
 func withName(labels map[string]string, name string) map[string]string {
 	if labels == nil {
 		labels = map[string]string{}
--- a/configurer/workspace.go
+++ b/configurer/workspace.go
@@ -9,23 +9,24 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Workspace is a workspace in the small form that routers hold; immutable.
-// The message that it came in takes several times as much, half of that the
-// map of its labels.
+// Workspace is the compact, immutable form of a workspace that routers hold in
+// memory. The protobuf message takes several times as much memory, half of it
+// for the map of labels.
 type Workspace struct {
 	name string
-	// Keys holds the SHA-256 sums of its bearer keys, one after the other.
+	// keys is the concatenation of the SHA-256 sums of its bearer keys.
 	keys string
-	// Labels is shared by all workspaces of equal labels.
+	// labels is shared by all workspaces with equal labels.
 	labels *labelSet
-	// Part is the workspace's part of the digest.
-	part uint64
+	// digest is the workspace's contribution to the configuration digest.
+	digest uint64
 }
 
-// newWorkspace leaves out a key that is no SHA-256 sum: acceptance refuses
-// these, and no bearer key could match one.
+// newWorkspace converts a workspace message. It omits key hashes that don't have
+// the length of a SHA-256 sum: validation rejects these, and no bearer key could
+// match them.
 func newWorkspace(m *messenger.Workspace, labels *labelSet) *Workspace {
-	w := &Workspace{name: m.Name, labels: labels, part: hash(kindWorkspace, m)}
+	w := &Workspace{name: m.Name, labels: labels, digest: objectDigest(kindWorkspace, m)}
 	keys := make([]byte, 0, len(m.KeyHashes)*sha256.Size)
 	for _, h := range m.KeyHashes {
 		if len(h) == sha256.Size {
