--- a/replicator/core_test.go
+++ b/replicator/core_test.go
@@ -19,9 +19,10 @@
 	return ""
 }
 
-// TestIsolatedLeaderStepsDown: symptom, a leader without a majority still
-// takes changes. Sequence: the leader is isolated silently, a change is
-// proposed to it, time passes. Cause: nothing but an answer ends a term.
+// TestIsolatedLeaderStepsDown guards against a leader without a majority that
+// still accepts changes, because only a reply can end its term. The test
+// isolates the leader without notice, proposes a change to it and lets time
+// pass.
 func TestIsolatedLeaderStepsDown(t *testing.T) {
 	p := newPool(t, 3)
 	p.settle()
@@ -42,10 +43,10 @@
 	}
 }
 
-// TestHealthyLeaderStays: symptom, an election although the leader is well.
-// Sequence: one keeper no longer hears the leader, but everybody hears it; it
-// asks for votes again and again, and the link heals. Cause: a request for
-// votes that raises the term of keepers that hear their leader.
+// TestHealthyLeaderStays guards against an election while the leader is
+// healthy, caused by vote requests that raise the term of keepers that hear
+// their leader. One keeper stops hearing the leader and requests votes
+// repeatedly, while everybody hears that keeper. Then the link heals.
 func TestHealthyLeaderStays(t *testing.T) {
 	p := newPool(t, 3)
 	p.settle()
@@ -69,10 +70,10 @@
 	}
 }
 
-// TestLateSnapshotKeepsTail: symptom, a committed change is gone although a
-// majority had acknowledged it. Sequence: a follower has entries 1 to 10 on
-// disk and said so; a snapshot up to 5, sent earlier, arrives after them.
-// Cause: the snapshot replaces the whole log.
+// TestLateSnapshotKeepsTail guards against the loss of a committed change that
+// a majority has acknowledged, caused by a snapshot that replaces the whole
+// log. A follower has acknowledged entries 1 to 10 on disk when a snapshot up
+// to entry 5, sent earlier, arrives.
 func TestLateSnapshotKeepsTail(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := replicator.NewCore(replicator.Options{
@@ -109,9 +110,9 @@
 	}
 }
 
-// TestVoteSurvivesRestart: symptom, two leaders in one term. Sequence: a
-// keeper votes, restarts, and another candidate of the same term asks. Cause:
-// a vote that was sent before it was on disk.
+// TestVoteSurvivesRestart guards against two leaders in one term, caused by a
+// vote that is sent before it is on disk. A keeper votes and restarts, and
+// another candidate of the same term requests its vote.
 func TestVoteSurvivesRestart(t *testing.T) {
 	p := newPool(t, 3)
 	p.settle()
@@ -153,11 +154,11 @@
 	}
 }
 
-// TestSpareTakesSilentSeat: symptom, a keeper that is lost for good leaves the
-// deployment one failure from a halt. Sequence: four keepers of which three
-// vote; one voter is silent for longer than Replace; it comes back later.
-// Cause: a spare that is never used, or a keeper that is not told it was
-// replaced and campaigns for ever.
+// TestSpareTakesSilentSeat guards against a deployment that is one failure
+// from a halt after the permanent loss of a keeper, because the spare is never
+// used. It also guards against a replaced keeper that is not told so and
+// campaigns forever. Three of four keepers vote; one voter is silent for
+// longer than the Replace timeout and returns later.
 func TestSpareTakesSilentSeat(t *testing.T) {
 	timing := replicator.DefaultTiming()
 	timing.Replace = 3 * time.Second
@@ -192,12 +193,12 @@
 	}
 }
 
-// TestOlderTermIsNotCommittedAlone: symptom, an acknowledged change is
-// replaced by another. Sequence: a leader has a change on its own disk only,
-// loses its role, leads again in a newer term, and one follower acknowledges
-// the old entry but not yet the new term's. Cause: an entry of an older term
-// counted as committed because a majority has it; a later leader may still
-// replace it.
+// TestOlderTermIsNotCommittedAlone guards against the replacement of an
+// acknowledged change, caused by counting an entry of an older term as
+// committed because a majority has it. A later leader may still replace it. A
+// leader has a change only on its own disk, loses its role and leads again in
+// a newer term. One follower then acknowledges the old entry but not yet the
+// entry of the new term.
 func TestOlderTermIsNotCommittedAlone(t *testing.T) {
 	p := newPool(t, 3)
 	p.settle()
@@ -239,9 +240,9 @@
 	}
 }
 
-// TestRetiredKeeperLeaves: symptom, a keeper that was taken out of the
-// settings counts against every majority for good. Sequence: four voters; one
-// stops and the others restart with settings that do not name it.
+// TestRetiredKeeperLeaves guards against a keeper that was removed from the
+// settings but counts against every majority forever. One of four voters
+// stops, and the others restart with settings that do not name it.
 func TestRetiredKeeperLeaves(t *testing.T) {
 	p := newPool(t, 4)
 	p.settle()
@@ -259,11 +260,11 @@
 	}
 }
 
-// TestReplacedKeeperFindsNewDisks: symptom, a keeper stays outside for good
-// after a long cut. Sequence: a voter is cut off, a spare takes its seat, and
-// the other voters lose their disks one after the other; the cut heals. Cause:
-// the keeper asks for votes only at the disks that it knows, which are all
-// gone, and nobody tells it.
+// TestReplacedKeeperFindsNewDisks guards against a keeper that never rejoins
+// after a long network partition, because it requests votes only from disks
+// that it knows, which are all gone, and nobody informs it. A voter is
+// partitioned, a spare replaces it, and the other voters lose their disks one
+// after the other. Then the partition heals.
 func TestReplacedKeeperFindsNewDisks(t *testing.T) {
 	timing := replicator.DefaultTiming()
 	timing.Replace = 3 * time.Second
@@ -295,10 +296,10 @@
 	}
 }
 
-// TestSilentVoterGetsNoEntriesAgain: symptom, a leader fills the link to a
-// voter that is cut off with megabytes a second. Sequence: a voter stops
-// answering; changes go on. Cause: with each heartbeat the leader sends again
-// all that the voter lacks, although none of it arrives.
+// TestSilentVoterGetsNoEntriesAgain guards against a leader that sends
+// megabytes per second to a partitioned voter, because every heartbeat resends
+// all entries that the voter lacks although none arrive. A voter stops
+// answering while changes continue.
 func TestSilentVoterGetsNoEntriesAgain(t *testing.T) {
 	p := newPool(t, 3)
 	p.settle()
@@ -331,11 +332,11 @@
 	}
 }
 
-// TestLostQuestionForVotesIsAskedAgain: symptom, after a loss of power of all
-// keepers nobody leads for a second and more, and routers that started with them
-// answer that they have no configuration. Sequence: all start together; the
-// keepers ask for votes before the others listen. Cause: a question that
-// is lost is not asked again before the next election.
+// TestLostQuestionForVotesIsAskedAgain guards against a second or more without
+// a leader after all keepers lost power, during which routers that started
+// with them answer that they have no configuration. All keepers start together
+// and request votes before the others are listening. The cause is a lost vote
+// request that is not repeated before the next election.
 func TestLostQuestionForVotesIsAskedAgain(t *testing.T) {
 	timing := replicator.Timing{Heartbeat: 100 * time.Millisecond, Election: 600 * time.Millisecond, Replace: 6 * time.Second}
 	const deaf, step = 400 * time.Millisecond, 20 * time.Millisecond
@@ -362,7 +363,8 @@
 		}
 		worst = max(worst, passed)
 	}
-	// The first to ask again does so within a heartbeat of the others listening.
+	// The first repeated vote request is sent within a heartbeat interval after
+	// the others start to listen.
 	if worst > 560*time.Millisecond {
 		t.Fatalf("nobody led for %v after a start of all", worst)
 	}
--- a/replicator/election.go
+++ b/replicator/election.go
@@ -7,69 +7,71 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// leaderAlive reports whether a leader was heard of so recently that its
-// majority may still hold: then nobody else gets a vote, so that one keeper
-// with a bad link can't unseat a healthy leader.
-func (c *Core) leaderAlive() bool {
+// hasLiveLeader reports whether this core leads or heard from a leader within
+// the election timeout. Votes are then refused, so that one keeper with a bad
+// link cannot depose a healthy leader.
+func (c *Core) hasLiveLeader() bool {
 	if c.role == Leader {
 		return true
 	}
-	return c.leader != Member{} && c.now.Sub(c.heard) < c.options.Timing.Election
+	return c.leader != Member{} && c.now.Sub(c.leaderHeardAt) < c.options.Timing.Election
 }
 
-// beginTrial asks the others whether they would vote, in the present term:
-// a keeper that comes back from a cut must not raise the term of the rest.
-func (c *Core) beginTrial() {
+// startPreVote asks the voters whether they would vote for this keeper,
+// without a new term. A keeper that returns from a network partition must not
+// raise the term of the others.
+func (c *Core) startPreVote() {
 	c.role = Trial
 	c.leader = Member{}
-	c.restTimer()
+	c.resetElectionTimer()
 	c.votes = map[Member]bool{c.self: true}
-	if c.won() {
-		c.beginElection()
+	if c.hasVoteMajority() {
+		c.startElection()
 		return
 	}
-	c.askVotes(true, c.term+1)
+	c.requestVotes(true, c.term+1)
 }
 
-// beginElection opens a term with a vote for itself.
-func (c *Core) beginElection() {
+// startElection starts a new term as candidate and votes for itself.
+func (c *Core) startElection() {
 	c.role = Candidate
 	c.term++
 	c.vote = c.self
-	c.dirty = true
-	c.restTimer()
+	c.stateDirty = true
+	c.resetElectionTimer()
 	c.votes = map[Member]bool{c.self: true}
-	if c.won() {
+	if c.hasVoteMajority() {
 		c.becomeLeader()
 		return
 	}
-	c.askVotes(false, c.term)
+	c.requestVotes(false, c.term)
 }
 
-// askAgain repeats the question for votes to those who have not granted one: the
-// first may be lost, as when all keepers start together and some don't listen
-// yet. Without that nobody led for 1.1 s after a loss of power of all.
-func (c *Core) askAgain() {
-	if c.now.Before(c.askAt) {
+// retryVoteRequests repeats vote requests to voters that have not granted one.
+// The first request may be lost, for example when all keepers start together
+// and some are not listening yet. Without retries there was no leader for 1.1
+// s after all keepers lost power.
+func (c *Core) retryVoteRequests() {
+	if c.now.Before(c.voteRetryAt) {
 		return
 	}
 	switch c.role {
 	case Trial:
-		c.askVotes(true, c.term+1)
+		c.requestVotes(true, c.term+1)
 	case Candidate:
-		c.askVotes(false, c.term)
+		c.requestVotes(false, c.term)
 	}
 }
 
-// restAsking draws the wait before votes are asked for again, at random: those
-// who ask at the same moment split the votes.
-func (c *Core) restAsking() {
+// resetVoteRetryTimer sets a random wait before the next vote requests,
+// because keepers that ask at the same moment split the votes.
+func (c *Core) resetVoteRetryTimer() {
 	h := c.options.Timing.Heartbeat
-	c.askAt = c.now.Add(h/2 + time.Duration(c.options.Rand.Int64N(int64(h))))
+	c.voteRetryAt = c.now.Add(h/2 + time.Duration(c.options.Rand.Int64N(int64(h))))
 }
 
-func (c *Core) askVotes(trial bool, term uint64) {
-	c.restAsking()
+func (c *Core) requestVotes(trial bool, term uint64) {
+	c.resetVoteRetryTimer()
 	for _, v := range c.log.voters {
 		if c.votes[v] {
 			continue
@@ -82,24 +84,24 @@
 
 func (c *Core) onVote(from Member, term uint64, v *messenger.LogVote) {
 	if v.Trial {
-		c.onTrial(from, term, v)
+		c.onPreVote(from, term, v)
 		return
 	}
-	granted := (c.vote == Member{} || c.vote == from) && c.atLeastAsLong(v)
+	granted := (c.vote == Member{} || c.vote == from) && c.isLogUpToDate(v)
 	if granted && c.vote != from {
 		c.vote = from
-		c.dirty = true
+		c.stateDirty = true
 	}
 	if granted {
-		c.restTimer()
+		c.resetElectionTimer()
 	}
 	c.send(from, voteReply(false, granted))
 }
 
-func (c *Core) onTrial(from Member, term uint64, v *messenger.LogVote) {
-	if term > c.term && !c.leaderAlive() && c.atLeastAsLong(v) {
-		// Whoever was promised a vote goes first.
-		c.restAsking()
+func (c *Core) onPreVote(from Member, term uint64, v *messenger.LogVote) {
+	if term > c.term && !c.hasLiveLeader() && c.isLogUpToDate(v) {
+		// Delay this keeper's own vote requests in favor of the candidate.
+		c.resetVoteRetryTimer()
 		m := voteReply(true, true)
 		m.Term = term
 		c.send(from, m)
@@ -108,9 +110,9 @@
 	c.send(from, voteReply(true, false))
 }
 
-// atLeastAsLong reports whether the candidate's log has all that this one's
-// may have helped to commit.
-func (c *Core) atLeastAsLong(v *messenger.LogVote) bool {
+// isLogUpToDate reports whether the candidate's log contains every entry that
+// the local log may have helped to commit.
+func (c *Core) isLogUpToDate(v *messenger.LogVote) bool {
 	if v.LastTerm != c.log.lastTerm() {
 		return v.LastTerm > c.log.lastTerm()
 	}
@@ -124,18 +126,18 @@
 	switch {
 	case r.Trial && c.role == Trial && term == c.term+1:
 		c.votes[from] = true
-		if c.won() {
-			c.beginElection()
+		if c.hasVoteMajority() {
+			c.startElection()
 		}
 	case !r.Trial && c.role == Candidate && term == c.term:
 		c.votes[from] = true
-		if c.won() {
+		if c.hasVoteMajority() {
 			c.becomeLeader()
 		}
 	}
 }
 
-func (c *Core) won() bool {
+func (c *Core) hasVoteMajority() bool {
 	n := 0
 	for _, v := range c.log.voters {
 		if c.votes[v] {
--- a/replicator/event.go
+++ b/replicator/event.go
@@ -4,26 +4,27 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// Ticket ties an answer to the event that asked for it.
+// Ticket correlates a Propose or Read event with the action that completes it.
 type Ticket uint64
 
-// Event is something that happens to a core.
+// Event is an input to Core.Step.
 type Event interface{ isEvent() }
 
-// Tick says that time has passed.
+// Tick reports that time has passed.
 type Tick struct{}
 
-// Receive brings a message of another keeper.
+// Receive delivers a message from another keeper.
 type Receive struct{ Message *messenger.LogMessage }
 
-// Propose asks to commit a change; the answer is Answered, Lost or Rejected.
+// Propose requests to commit a change. It completes with ProposalCommitted,
+// OutcomeUnknown or Rejected.
 type Propose struct {
 	Ticket Ticket
 	Data   []byte
 }
 
-// Read asks for an index that covers all that was committed before; the
-// answer is Confirmed, Lost or Rejected.
+// Read requests an index that covers everything committed before the request.
+// It completes with ReadConfirmed, OutcomeUnknown or Rejected.
 type Read struct{ Ticket Ticket }
 
 func (Tick) isEvent()    {}
@@ -31,38 +32,41 @@
 func (Propose) isEvent() {}
 func (Read) isEvent()    {}
 
-// Action is something that the shell must do.
+// Action is an output of Core.Step that the caller must carry out.
 type Action interface{ isAction() }
 
-// Write changes a durable row; a nil value deletes it.
+// Write sets a durable row, or deletes it if Value is nil.
 type Write struct {
 	Bucket string
 	Key    string
 	Value  []byte
 }
 
-// Send passes a message to another keeper; it may be lost.
+// Send sends a message to another keeper. Delivery is not guaranteed.
 type Send struct{ Message *messenger.LogMessage }
 
-// Answered says that the proposed change is committed and gives its result.
+// ProposalCommitted reports that a proposed change was committed and applied.
 type Answered struct {
 	Ticket Ticket
 	Result any
 }
 
-// Confirmed says that a majority confirmed the leader after the read came in.
+// ReadConfirmed reports that a majority confirmed the leader after the read
+// was requested.
 type Confirmed struct {
 	Ticket Ticket
 	Index  uint64
 }
 
-// Lost says that the outcome is not known here.
+// OutcomeUnknown reports that the outcome of a request is not known here.
 type Lost struct{ Ticket Ticket }
 
-// Rejected says that nothing was done, for want of the leader's role.
+// Rejected reports that a request had no effect because this core is not a
+// leader that can serve it.
 type Rejected struct{ Ticket Ticket }
 
-// Halt says that the keeper must stop: going on would break what it promised.
+// Halt reports that the keeper must stop, because continuing would violate the
+// guarantees of the log.
 type Halt struct{ Err error }
 
 func (Write) isAction()     {}
@@ -77,11 +81,11 @@
 	return &messenger.LogMember{Name: m.Name, Incarnation: m.Incarnation}
 }
 
-func memberOf(m *messenger.LogMember) Member {
+func memberFromProto(m *messenger.LogMember) Member {
 	return Member{Name: m.GetName(), Incarnation: m.GetIncarnation()}
 }
 
-func membershipOf(voters []Member) *messenger.LogMembership {
+func membershipToProto(voters []Member) *messenger.LogMembership {
 	out := &messenger.LogMembership{}
 	for _, v := range voters {
 		out.Voters = append(out.Voters, v.proto())
@@ -89,10 +93,10 @@
 	return out
 }
 
-func votersOf(m *messenger.LogMembership) []Member {
+func votersFromProto(m *messenger.LogMembership) []Member {
 	var out []Member
 	for _, v := range m.GetVoters() {
-		out = append(out, memberOf(v))
+		out = append(out, memberFromProto(v))
 	}
 	return out
 }
--- a/replicator/follower.go
+++ b/replicator/follower.go
@@ -9,12 +9,14 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-func (c *Core) hear(from Member) {
+// followLeader becomes a follower of the sender and restarts the election
+// timer.
+func (c *Core) followLeader(from Member) {
 	if c.role != Follower || c.leader != from {
 		c.becomeFollower(c.term, from)
 	}
-	c.heard = c.now
-	c.restTimer()
+	c.leaderHeardAt = c.now
+	c.resetElectionTimer()
 }
 
 func (c *Core) onAppend(from Member, a *messenger.LogAppend) {
@@ -22,27 +24,27 @@
 		c.halt(merry.Errorf("%w: two leaders in term %d: %s and %s", ErrDiverged, c.term, c.self.Name, from.Name))
 		return
 	}
-	c.hear(from)
+	c.followLeader(from)
 	if t, ok := c.log.termAt(a.PrevIndex); a.PrevIndex >= c.log.base && (!ok || t != a.PrevTerm) {
 		c.send(from, appendReply(false, min(max(a.PrevIndex, 1)-1, c.log.last()), a.Round))
 		return
 	}
 	for _, e := range a.Entries {
-		if !c.takeEntry(e) {
+		if !c.acceptEntry(e) {
 			return
 		}
 	}
 	match := a.PrevIndex + uint64(len(a.Entries))
-	c.setCommit(min(a.CommitIndex, max(match, c.commit)))
+	c.advanceCommit(min(a.CommitIndex, max(match, c.commit)))
 	if c.commit >= a.CommitIndex {
 		c.confirmedAt = c.now.Add(-time.Duration(a.ConfirmedAgeMs) * time.Millisecond)
 	}
 	c.send(from, appendReply(true, match, a.Round))
 }
 
-// takeEntry appends an entry, replacing a conflicting tail; it reports false
-// when that would undo a committed one.
-func (c *Core) takeEntry(e *messenger.LogEntry) bool {
+// acceptEntry appends an entry and removes a conflicting tail first. It halts
+// the core and returns false if that would remove a committed entry.
+func (c *Core) acceptEntry(e *messenger.LogEntry) bool {
 	if e.Index <= c.log.base {
 		return true
 	}
@@ -54,7 +56,7 @@
 			c.halt(merry.Errorf("%w: entry %d is of term %d here and of term %d at the leader", ErrDiverged, e.Index, t, e.Term))
 			return false
 		}
-		c.dropEntries(e.Index, c.log.last())
+		c.deleteEntryRows(e.Index, c.log.last())
 		c.log.truncate(e.Index)
 	}
 	c.log.append(e)
@@ -67,19 +69,19 @@
 		c.halt(merry.Errorf("%w: two leaders in term %d: %s and %s", ErrDiverged, c.term, c.self.Name, from.Name))
 		return
 	}
-	c.hear(from)
+	c.followLeader(from)
 	s := in.Snapshot
 	if s == nil || xxhash.Sum64(s.Data) != s.Checksum {
 		return
 	}
-	// Entries beyond the snapshot may count for a majority already: a late
-	// snapshot must not take them away.
+	// Entries after the snapshot may already count towards a majority, so a late
+	// snapshot must not remove them.
 	if t, ok := c.log.termAt(s.Index); s.Index > c.commit && (!ok || t != s.Term) {
 		if !c.installSnapshot(s) {
 			return
 		}
 	}
-	c.setCommit(max(c.commit, s.Index))
+	c.advanceCommit(max(c.commit, s.Index))
 	c.send(from, appendReply(true, s.Index, in.Round))
 }
 
@@ -93,19 +95,20 @@
 	c.log.findVoters()
 	c.commit, c.applied = s.Index, s.Index
 	c.writeSnapshot()
-	c.dropEntries(first, last)
+	c.deleteEntryRows(first, last)
 	return true
 }
 
-func (c *Core) setCommit(i uint64) {
+func (c *Core) advanceCommit(i uint64) {
 	if i > c.commit {
 		c.commit = i
-		c.dirty = true
+		c.stateDirty = true
 	}
 }
 
-// advance applies what is committed and sends what the step made due.
-func (c *Core) advance() {
+// finishStep commits and applies entries, and sends the broadcast and read
+// confirmations that the step made due.
+func (c *Core) finishStep() {
 	if c.role == Leader {
 		c.commitMajority()
 	}
@@ -113,17 +116,17 @@
 	if c.role != Leader {
 		return
 	}
-	if c.lead.broadcastDue {
+	if c.leaderState.broadcastDue {
 		c.broadcast()
 	}
 	c.applyCommitted()
-	c.answerReads()
+	c.confirmReads()
 }
 
 func (c *Core) applyCommitted() {
 	for c.applied < c.commit && !c.halted {
 		c.applied++
-		c.apply(c.log.at(c.applied))
+		c.apply(c.log.entryAt(c.applied))
 	}
 	c.compact()
 }
@@ -133,9 +136,9 @@
 	switch e.Kind {
 	case messenger.LogEntryKind_LOG_ENTRY_KIND_CHANGE:
 		result := c.options.Machine.Apply(e.Data)
-		if t, ok := c.lead.proposals[e.Index]; ok && c.role == Leader {
-			delete(c.lead.proposals, e.Index)
-			c.out = append(c.out, Answered{Ticket: t, Result: result})
+		if t, ok := c.leaderState.proposals[e.Index]; ok && c.role == Leader {
+			delete(c.leaderState.proposals, e.Index)
+			c.actions = append(c.actions, Answered{Ticket: t, Result: result})
 		}
 	case messenger.LogEntryKind_LOG_ENTRY_KIND_MEMBERSHIP:
 		if c.role == Leader && !c.Voter() {
@@ -144,12 +147,12 @@
 	}
 }
 
-// compact replaces applied entries by a snapshot; half of them stay beside it
-// for followers that lag a little.
+// compact replaces applied entries with a snapshot. Up to half of CompactAfter
+// entries are retained for followers that lag slightly.
 func (c *Core) compact() {
 	kept := uint64(c.options.CompactAfter / 2)
 	if c.options.CompactBytes > 0 && c.appliedBytes > c.options.CompactBytes {
-		kept = min(kept, keptAfterBytes)
+		kept = min(kept, retainedAfterBytesLimit)
 	} else if c.applied < c.log.base+uint64(c.options.CompactAfter) {
 		return
 	}
@@ -160,11 +163,11 @@
 	t, _ := c.log.termAt(c.applied)
 	data := c.options.Machine.Snapshot()
 	c.log.snapshot = &messenger.LogSnapshot{
-		Index: c.applied, Term: t, Membership: membershipOf(c.log.votersAt(c.applied)),
+		Index: c.applied, Term: t, Membership: membershipToProto(c.log.votersAt(c.applied)),
 		Data: data, Checksum: xxhash.Sum64(data),
 	}
 	first, upTo := c.log.base+1, c.applied-kept
 	c.log.compact(upTo)
 	c.writeSnapshot()
-	c.dropEntries(first, upTo)
+	c.deleteEntryRows(first, upTo)
 }
--- a/replicator/fuzz_test.go
+++ b/replicator/fuzz_test.go
@@ -28,14 +28,14 @@
 	_ = flag.Set("rapid.shrinktime", "5s")
 }
 
-// crash loses a step's rows, or tears them where the disk may be lost.
+// crash discards the rows of a step, or tears them if the disk may be lost.
 func (p *pool) crash(name string) {
 	n := p.nodes[name]
 	if len(p.messages) > 0 {
 		i := rapid.IntRange(0, len(p.messages)-1).Draw(p.draw, "unsynced")
 		if m := p.messages[i]; m.To.Name == name {
 			actions := n.core.Step(n.now, replicator.Receive{Message: m})
-			if p.mayLose(name) {
+			if p.canLoseDisk(name) {
 				p.tear(n, actions)
 			}
 		}
@@ -111,7 +111,7 @@
 		"leader":  func(*rapid.T) { p.workAtLeaders() },
 		"crash":   func(*rapid.T) { p.crash(p.name()) },
 		"wipe": func(*rapid.T) {
-			if n := p.name(); p.mayLose(n) {
+			if n := p.name(); p.canLoseDisk(n) {
 				p.wiped++
 				p.nodes[n].disk = map[string]map[string][]byte{}
 				p.start(n)
@@ -135,13 +135,13 @@
 		pace[n] = []int{0, 20, 75, 75, 300}[r.IntN(5)]
 	}
 	for range 1 + r.IntN(40) {
-		p.stormRound(r, pace, loss, lag)
+		p.randomFaultRound(r, pace, loss, lag)
 	}
 }
 
-// stormRound lets clocks run apart, loses, doubles, delays and reorders
-// messages, and has operators at work all the while.
-func (p *pool) stormRound(r *rand.Rand, pace map[string]int, loss, lag int) {
+// randomFaultRound lets clocks drift apart, and loses, duplicates, delays and
+// reorders messages, while operators propose changes.
+func (p *pool) randomFaultRound(r *rand.Rand, pace map[string]int, loss, lag int) {
 	for _, n := range p.names {
 		if pace[n] > 0 {
 			p.tickOne(n, time.Duration(r.IntN(2*pace[n]))*time.Millisecond)
@@ -195,11 +195,11 @@
 	}
 }
 
-// TestLogAgainstRegister: symptom, an acknowledged change that is gone, there
-// twice or in another order, two leaders of a term, or a confirmed read that
-// misses a change. The sequence of messages lost, doubled, delayed, cuts,
-// crashes with unsynced or torn rows and emptied disks is drawn; the cause
-// would be a fault of the core.
+// TestLogAgainstRegister checks the core against a simple model under random
+// faults: lost, duplicated and delayed messages, network partitions, crashes
+// with unsynced or torn rows, and erased disks. It fails if an acknowledged
+// change is lost, applied twice or reordered, if a term has two leaders, or if
+// a confirmed read misses a change.
 func TestLogAgainstRegister(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -225,9 +225,9 @@
 	}
 }
 
-// TestRestartKeepsCommitted: symptom, a keeper cut off right after its restart
-// shows an older configuration than before. Cause: a commit index that was
-// only in memory.
+// TestRestartKeepsCommitted guards against a keeper that is partitioned right
+// after a restart and shows an older configuration than before, because the
+// commit index was only in memory.
 func TestRestartKeepsCommitted(t *testing.T) {
 	p := newPool(t, 3)
 	p.settle()
@@ -238,9 +238,10 @@
 	}
 }
 
-// TestDamagedRow: symptom, a keeper starts with a damaged row as if nothing
-// were wrong. A row at or below the last index may have been acknowledged, so
-// the start must fail; one beyond it was never, and is cut.
+// TestDamagedRow guards against a keeper that starts with a damaged row as if
+// nothing were wrong. A row at or below the last index may have been
+// acknowledged, so the start must fail. A row beyond it was never acknowledged
+// and is deleted.
 func TestDamagedRow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool(t, 3)
--- a/replicator/leader.go
+++ b/replicator/leader.go
@@ -8,35 +8,37 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// appendBytes bounds the entries of one message.
-const appendBytes = 512 << 10
+// maxAppendBytes limits the size of the entries in one message.
+const maxAppendBytes = 512 << 10
 
-// progress is what a leader knows of one other member.
+// progress is the leader's view of one other member.
 type progress struct {
-	// Match is the last index known to be on the member's disk.
+	// match is the highest index known to be on the member's disk.
 	match uint64
-	// Next is the index to send from; match+1 again after silence.
+	// next is the next index to send. It is reset to match+1 if the member does
+	// not answer.
 	next uint64
-	// Round is the newest broadcast that the member answered.
+	// round is the latest broadcast round that the member answered.
 	round   uint64
 	ackedAt time.Time
-	// AckedSince is reset at every heartbeat.
-	ackedSince bool
-	// Silent members get no entries until they answer: all that is not on
-	// their disks would else be sent again with every heartbeat, megabytes a
-	// second over a link that is cut or slow.
-	silent bool
-	since  time.Time
-	// SinceRound is the leader's broadcast when the member became known: only
-	// the answer to a later one shows that its disk still exists.
-	sinceRound uint64
-	// InstallAt is when a snapshot was sent last.
-	installAt time.Time
+	// ackedSinceHeartbeat is reset at every heartbeat.
+	ackedSinceHeartbeat bool
+	// paused is set while the member does not answer, so that it gets no entries.
+	// Otherwise every heartbeat would resend all entries that it lacks, megabytes
+	// per second over a partitioned or slow link.
+	paused    bool
+	trackedAt time.Time
+	// trackedRound is the leader's broadcast round when tracking began. Only an
+	// answer to a later round proves that the disk still exists.
+	trackedRound uint64
+	// snapshotSentAt is when a snapshot was last sent.
+	snapshotSentAt time.Time
 }
 
+// pendingRead is a read that waits for confirmation by a majority.
 type pendingRead struct {
 	ticket Ticket
-	// Round must be answered by a majority; it began after the read.
+	// round is a round that began after the read. A majority must answer it.
 	round uint64
 	index uint64
 }
@@ -46,115 +48,116 @@
 	at    time.Time
 }
 
-// leadership is the state of a leader's term.
-type leadership struct {
-	// FirstIndex is the index of the term's first entry.
-	firstIndex  uint64
-	progress    map[Member]*progress
-	proposals   map[uint64]Ticket
-	reads       []pendingRead
-	round       uint64
-	rounds      []sentRound
-	confirmed   uint64
-	confirmedAt time.Time
-	beatAt      time.Time
-	// BroadcastDue asks for a broadcast at the end of the step.
+// leaderState holds what a leader keeps for its term.
+type leaderState struct {
+	// firstIndex is the index of the first entry of the term.
+	firstIndex     uint64
+	progress       map[Member]*progress
+	proposals      map[uint64]Ticket
+	reads          []pendingRead
+	round          uint64
+	rounds         []sentRound
+	confirmedRound uint64
+	confirmedAt    time.Time
+	heartbeatAt    time.Time
+	// broadcastDue requests a broadcast at the end of the step.
 	broadcastDue bool
 }
 
 func (c *Core) becomeLeader() {
 	c.role = Leader
 	c.leader = c.self
-	c.lead = leadership{
+	c.leaderState = leaderState{
 		progress: map[Member]*progress{}, proposals: map[uint64]Ticket{},
 		confirmedAt: c.now, firstIndex: c.log.last() + 1,
 	}
 	c.trackMembers()
-	c.appendOwn(&messenger.LogEntry{Kind: messenger.LogEntryKind_LOG_ENTRY_KIND_NOOP})
+	c.appendLeaderEntry(&messenger.LogEntry{Kind: messenger.LogEntryKind_LOG_ENTRY_KIND_NOOP})
 }
 
-// loseLeadership gives up what waits: whether it will be committed is up to
-// the next leader.
-func (c *Core) loseLeadership() {
-	for _, i := range slices.Sorted(maps.Keys(c.lead.proposals)) {
-		c.out = append(c.out, Lost{Ticket: c.lead.proposals[i]})
+// abandonPending reports an unknown outcome for pending proposals and reads.
+// The next leader decides whether the proposals are committed.
+func (c *Core) abandonPending() {
+	for _, i := range slices.Sorted(maps.Keys(c.leaderState.proposals)) {
+		c.actions = append(c.actions, Lost{Ticket: c.leaderState.proposals[i]})
 	}
-	for _, r := range c.lead.reads {
-		c.out = append(c.out, Lost{Ticket: r.ticket})
+	for _, r := range c.leaderState.reads {
+		c.actions = append(c.actions, Lost{Ticket: r.ticket})
 	}
-	c.confirmedAt = c.lead.confirmedAt
-	c.lead = leadership{}
+	c.confirmedAt = c.leaderState.confirmedAt
+	c.leaderState = leaderState{}
 }
 
-// checkQuorum ends a leadership without a majority: a leader that was cut off
-// or frozen must stop before it accepts or confirms anything.
+// checkQuorum steps down a leader that has lost its majority. A leader that
+// was partitioned or frozen must stop before it accepts or confirms anything.
 func (c *Core) checkQuorum() {
-	if c.role == Leader && c.now.Sub(c.lead.confirmedAt) > c.options.Timing.Election {
+	if c.role == Leader && c.now.Sub(c.leaderState.confirmedAt) > c.options.Timing.Election {
 		c.becomeFollower(c.term, Member{})
 	}
 }
 
-func (c *Core) appendOwn(e *messenger.LogEntry) {
+func (c *Core) appendLeaderEntry(e *messenger.LogEntry) {
 	e.Index, e.Term = c.log.last()+1, c.term
 	c.log.append(e)
 	c.writeEntry(e)
-	c.lead.broadcastDue = true
+	c.leaderState.broadcastDue = true
 }
 
 func (c *Core) propose(e Propose) {
 	if !c.Ready() {
-		c.out = append(c.out, Rejected{Ticket: e.Ticket})
+		c.actions = append(c.actions, Rejected{Ticket: e.Ticket})
 		return
 	}
-	c.appendOwn(&messenger.LogEntry{Kind: messenger.LogEntryKind_LOG_ENTRY_KIND_CHANGE, Data: e.Data})
-	c.lead.proposals[c.log.last()] = e.Ticket
+	c.appendLeaderEntry(&messenger.LogEntry{Kind: messenger.LogEntryKind_LOG_ENTRY_KIND_CHANGE, Data: e.Data})
+	c.leaderState.proposals[c.log.last()] = e.Ticket
 }
 
-// read waits for a round that begins after it: the clock of the leader is not
-// trusted, because a VM that was paused may not see the time that it lost.
+// read queues a read until a majority answers a round that begins after it.
+// The leader's clock is not trusted, because a VM that was paused may not
+// notice the lost time.
 func (c *Core) read(e Read) {
 	if c.role != Leader {
-		c.out = append(c.out, Rejected{Ticket: e.Ticket})
+		c.actions = append(c.actions, Rejected{Ticket: e.Ticket})
 		return
 	}
-	c.lead.reads = append(c.lead.reads, pendingRead{ticket: e.Ticket, round: c.lead.round + 1, index: c.commit})
-	c.lead.broadcastDue = true
+	c.leaderState.reads = append(c.leaderState.reads, pendingRead{ticket: e.Ticket, round: c.leaderState.round + 1, index: c.commit})
+	c.leaderState.broadcastDue = true
 }
 
 func (c *Core) tickLeader() {
-	if c.now.Sub(c.lead.beatAt) < c.options.Timing.Heartbeat {
+	if c.now.Sub(c.leaderState.heartbeatAt) < c.options.Timing.Heartbeat {
 		return
 	}
-	for m, p := range c.lead.progress {
-		if !p.ackedSince {
+	for m, p := range c.leaderState.progress {
+		if !p.ackedSinceHeartbeat {
 			p.next = p.match + 1
-			p.silent = true
+			p.paused = true
 		}
-		p.ackedSince = false
-		if !slices.Contains(c.log.voters, m) && c.now.Sub(p.ackedAt) > learnerTimeout && c.now.Sub(p.since) > learnerTimeout {
-			delete(c.lead.progress, m)
+		p.ackedSinceHeartbeat = false
+		if !slices.Contains(c.log.voters, m) && c.now.Sub(p.ackedAt) > learnerTimeout && c.now.Sub(p.trackedAt) > learnerTimeout {
+			delete(c.leaderState.progress, m)
 		}
 	}
-	c.lead.beatAt = c.now
-	c.lead.broadcastDue = true
-	c.mendMembership()
+	c.leaderState.heartbeatAt = c.now
+	c.leaderState.broadcastDue = true
+	c.repairMembership()
 }
 
-// trackMembers keeps a progress for every voter besides the leader.
+// trackMembers creates progress for every voter except the leader.
 func (c *Core) trackMembers() {
 	for _, v := range c.log.voters {
-		if v != c.self && c.lead.progress[v] == nil {
-			c.lead.progress[v] = &progress{next: c.log.last() + 1, since: c.now, ackedAt: c.now}
+		if v != c.self && c.leaderState.progress[v] == nil {
+			c.leaderState.progress[v] = &progress{next: c.log.last() + 1, trackedAt: c.now, ackedAt: c.now}
 		}
 	}
 }
 
 func (c *Core) broadcast() {
-	c.lead.broadcastDue = false
-	c.lead.round++
-	c.lead.rounds = append(c.lead.rounds, sentRound{round: c.lead.round, at: c.now})
+	c.leaderState.broadcastDue = false
+	c.leaderState.round++
+	c.leaderState.rounds = append(c.leaderState.rounds, sentRound{round: c.leaderState.round, at: c.now})
 	for _, m := range c.members() {
-		c.replicateTo(m, c.lead.progress[m])
+		c.replicateTo(m, c.leaderState.progress[m])
 	}
 	c.confirmRounds()
 }
@@ -162,8 +165,8 @@
 // members returns the tracked members in a fixed order, so that equal inputs
 // give equal outputs.
 func (c *Core) members() []Member {
-	out := make([]Member, 0, len(c.lead.progress))
-	for m := range c.lead.progress {
+	out := make([]Member, 0, len(c.leaderState.progress))
+	for m := range c.leaderState.progress {
 		out = append(out, m)
 	}
 	slices.SortFunc(out, compareMembers)
@@ -185,38 +188,38 @@
 	prev := p.next - 1
 	t, ok := c.log.termAt(prev)
 	if !ok {
-		c.installAt(m, p)
+		c.sendSnapshot(m, p)
 		return
 	}
 	var entries []*messenger.LogEntry
-	if !p.silent {
-		entries = c.log.from(p.next, appendBytes)
+	if !p.paused {
+		entries = c.log.from(p.next, maxAppendBytes)
 	}
 	p.next += uint64(len(entries))
 	c.send(m, &messenger.LogMessage{Body: &messenger.LogMessage_Append{Append: &messenger.LogAppend{
-		PrevIndex: prev, PrevTerm: t, Entries: entries, CommitIndex: c.commit, Round: c.lead.round,
-		ConfirmedAgeMs: c.now.Sub(c.lead.confirmedAt).Milliseconds(),
+		PrevIndex: prev, PrevTerm: t, Entries: entries, CommitIndex: c.commit, Round: c.leaderState.round,
+		ConfirmedAgeMs: c.now.Sub(c.leaderState.confirmedAt).Milliseconds(),
 	}}})
 }
 
-// installAt sends the snapshot, at most once an election timeout: it may be
-// large, and its answer needs time.
-func (c *Core) installAt(m Member, p *progress) {
-	if c.now.Sub(p.installAt) < c.options.Timing.Election && !p.installAt.IsZero() {
+// sendSnapshot sends the snapshot, but at most once per election timeout,
+// because it may be large and take time to be acknowledged.
+func (c *Core) sendSnapshot(m Member, p *progress) {
+	if c.now.Sub(p.snapshotSentAt) < c.options.Timing.Election && !p.snapshotSentAt.IsZero() {
 		return
 	}
-	p.installAt = c.now
+	p.snapshotSentAt = c.now
 	c.send(m, &messenger.LogMessage{Body: &messenger.LogMessage_Install{Install: &messenger.LogInstall{
-		Snapshot: c.log.snapshot, Round: c.lead.round,
+		Snapshot: c.log.snapshot, Round: c.leaderState.round,
 	}}})
 }
 
 func (c *Core) onAppendReply(from Member, r *messenger.LogAppendReply) {
-	p := c.lead.progress[from]
+	p := c.leaderState.progress[from]
 	if c.role != Leader || p == nil {
 		return
 	}
-	p.ackedAt, p.ackedSince, p.silent = c.now, true, false
+	p.ackedAt, p.ackedSinceHeartbeat, p.paused = c.now, true, false
 	p.round = max(p.round, r.Round)
 	if r.Accepted {
 		p.match = max(p.match, r.MatchIndex)
@@ -231,24 +234,25 @@
 	}
 }
 
-// confirmRounds finds the newest round that a majority answered.
+// confirmRounds records the latest round that a majority has answered.
 func (c *Core) confirmRounds() {
-	r := c.majority(func(p *progress) uint64 { return p.round }, c.lead.round)
-	if r <= c.lead.confirmed {
+	r := c.majority(func(p *progress) uint64 { return p.round }, c.leaderState.round)
+	if r <= c.leaderState.confirmedRound {
 		return
 	}
-	c.lead.confirmed = r
-	for len(c.lead.rounds) > 0 && c.lead.rounds[0].round <= r {
-		c.lead.confirmedAt = c.lead.rounds[0].at
-		c.lead.rounds = c.lead.rounds[1:]
+	c.leaderState.confirmedRound = r
+	for len(c.leaderState.rounds) > 0 && c.leaderState.rounds[0].round <= r {
+		c.leaderState.confirmedAt = c.leaderState.rounds[0].at
+		c.leaderState.rounds = c.leaderState.rounds[1:]
 	}
 }
 
-// majority returns the largest value that more than half of the voters reach.
+// majority returns the largest value that more than half of the voters have
+// reached.
 func (c *Core) majority(of func(*progress) uint64, own uint64) uint64 {
 	values := make([]uint64, 0, len(c.log.voters))
 	for _, v := range c.log.voters {
-		switch p := c.lead.progress[v]; {
+		switch p := c.leaderState.progress[v]; {
 		case v == c.self:
 			values = append(values, own)
 		case p != nil:
@@ -264,28 +268,29 @@
 	return values[(len(values)-1)/2]
 }
 
-// commitMajority moves the commit index over entries of the own term only:
-// an older entry on a majority can still be replaced by a later leader.
+// commitMajority advances the commit index only to entries of the current
+// term. An entry of an older term can still be replaced by a later leader,
+// even if a majority has it.
 func (c *Core) commitMajority() {
 	i := c.majority(func(p *progress) uint64 { return p.match }, c.log.last())
 	t, ok := c.log.termAt(i)
 	if i > c.commit && ok && t == c.term {
-		c.setCommit(i)
-		c.lead.broadcastDue = true
+		c.advanceCommit(i)
+		c.leaderState.broadcastDue = true
 	}
 }
 
-func (c *Core) answerReads() {
+func (c *Core) confirmReads() {
 	if !c.Ready() {
 		return
 	}
-	rest := c.lead.reads[:0]
-	for _, r := range c.lead.reads {
-		if r.round > c.lead.confirmed {
+	rest := c.leaderState.reads[:0]
+	for _, r := range c.leaderState.reads {
+		if r.round > c.leaderState.confirmedRound {
 			rest = append(rest, r)
 			continue
 		}
-		c.out = append(c.out, Confirmed{Ticket: r.ticket, Index: max(r.index, c.lead.firstIndex)})
+		c.actions = append(c.actions, Confirmed{Ticket: r.ticket, Index: max(r.index, c.leaderState.firstIndex)})
 	}
-	c.lead.reads = rest
+	c.leaderState.reads = rest
 }
--- a/replicator/log.go
+++ b/replicator/log.go
@@ -2,20 +2,21 @@
 
 import "rattanhoist.example/rattanhoist/messenger"
 
-// entryLog is the copy of the log in memory: a snapshot and the entries
-// after it.
+// entryLog is the log in memory: a snapshot and the entries after it.
 type entryLog struct {
-	// Snapshot covers every entry up to its index; nil before the first.
+	// snapshot covers every entry up to its index. It is nil before the first
+	// snapshot.
 	snapshot *messenger.LogSnapshot
-	// Base and baseTerm name the entry before entries[0]. Base is at most the
-	// snapshot's index: some entries stay beside it for followers that lag.
+	// base and baseTerm are the index and term of the entry before entries[0].
+	// base is at most the snapshot's index, because some entries are retained for
+	// followers that lag.
 	base     uint64
 	baseTerm uint64
-	// Entries are contiguous from base+1.
+	// entries are contiguous from base+1.
 	entries []*messenger.LogEntry
-	// Voters is the last membership in the log, committed or not.
+	// voters is the latest membership in the log, committed or not.
 	voters []Member
-	// VotersIndex is the index of the entry that holds it.
+	// votersIndex is the index of the entry or snapshot that holds voters.
 	votersIndex uint64
 }
 
@@ -26,7 +27,8 @@
 	return t
 }
 
-// termAt returns the term of an entry that the log still names.
+// termAt returns the term of the entry at index i, or false if the index is
+// outside the log.
 func (l *entryLog) termAt(i uint64) (uint64, bool) {
 	switch {
 	case i == l.base:
@@ -38,14 +40,14 @@
 	}
 }
 
-func (l *entryLog) at(i uint64) *messenger.LogEntry { return l.entries[i-l.base-1] }
+func (l *entryLog) entryAt(i uint64) *messenger.LogEntry { return l.entries[i-l.base-1] }
 
-// from returns entries from index i on, up to about limit bytes and at least
-// one.
+// from returns the entries starting at index i, up to about limit bytes but at
+// least one entry if there is any.
 func (l *entryLog) from(i uint64, limit int) []*messenger.LogEntry {
 	var out []*messenger.LogEntry
 	for size := 0; i <= l.last(); i++ {
-		e := l.at(i)
+		e := l.entryAt(i)
 		size += len(e.Data)
 		if len(out) > 0 && size > limit {
 			break
@@ -58,11 +60,11 @@
 func (l *entryLog) append(e *messenger.LogEntry) {
 	l.entries = append(l.entries, e)
 	if e.Kind == messenger.LogEntryKind_LOG_ENTRY_KIND_MEMBERSHIP {
-		l.voters, l.votersIndex = votersOf(e.Membership), e.Index
+		l.voters, l.votersIndex = votersFromProto(e.Membership), e.Index
 	}
 }
 
-// truncate drops entries from index i on.
+// truncate removes the entries from index i onwards.
 func (l *entryLog) truncate(i uint64) {
 	l.entries = l.entries[: i-l.base-1 : i-l.base-1]
 	if l.votersIndex >= i {
@@ -70,19 +72,21 @@
 	}
 }
 
+// findVoters sets voters from the latest membership in the snapshot and
+// entries.
 func (l *entryLog) findVoters() {
 	l.voters, l.votersIndex = nil, 0
 	if l.snapshot != nil {
-		l.voters, l.votersIndex = votersOf(l.snapshot.Membership), l.snapshot.Index
+		l.voters, l.votersIndex = votersFromProto(l.snapshot.Membership), l.snapshot.Index
 	}
 	for _, e := range l.entries {
 		if e.Kind == messenger.LogEntryKind_LOG_ENTRY_KIND_MEMBERSHIP {
-			l.voters, l.votersIndex = votersOf(e.Membership), e.Index
+			l.voters, l.votersIndex = votersFromProto(e.Membership), e.Index
 		}
 	}
 }
 
-// compact drops entries up to index i, which a snapshot covers.
+// compact removes the entries up to index i, which a snapshot covers.
 func (l *entryLog) compact(i uint64) {
 	t, _ := l.termAt(i)
 	l.entries = append([]*messenger.LogEntry(nil), l.entries[i-l.base:]...)
@@ -93,11 +97,11 @@
 func (l *entryLog) votersAt(i uint64) []Member {
 	var out []Member
 	if l.snapshot != nil {
-		out = votersOf(l.snapshot.Membership)
+		out = votersFromProto(l.snapshot.Membership)
 	}
 	for _, e := range l.entries {
 		if e.Index <= i && e.Kind == messenger.LogEntryKind_LOG_ENTRY_KIND_MEMBERSHIP {
-			out = votersOf(e.Membership)
+			out = votersFromProto(e.Membership)
 		}
 	}
 	return out
--- a/replicator/membership.go
+++ b/replicator/membership.go
@@ -7,29 +7,30 @@
 	"rattanhoist.example/rattanhoist/messenger"
 )
 
-// adopt checks that a message belongs to this deployment. An empty disk takes
-// the deployment of the first message that names its incarnation: only one
-// who has heard from this very disk can name it.
-func (c *Core) adopt(m *messenger.LogMessage, to Member) bool {
+// checkDeployment reports whether a message belongs to this deployment. A
+// keeper with an empty disk joins the deployment of the first message that
+// names its incarnation, because only a keeper that has heard from this disk
+// knows it.
+func (c *Core) checkDeployment(m *messenger.LogMessage, to Member) bool {
 	if c.deployment == "" && m.Deployment != "" && to.Incarnation == c.self.Incarnation {
 		c.deployment = m.Deployment
-		c.dirty = true
+		c.stateDirty = true
 	}
 	return m.Deployment != "" && m.Deployment == c.deployment
 }
 
-// sayHello makes a disk that does not vote known to the others, and one that
-// finds no leader: it may have lost its vote while it was cut off, and all the
-// disks that it knows may be gone.
-func (c *Core) sayHello() {
+// sendHello announces a disk that is not a voter, or that finds no leader, to
+// the peers. A voter without a leader may have been replaced while it was
+// partitioned, and all the disks that it knows may be gone.
+func (c *Core) sendHello() {
 	if c.Voter() && c.role != Trial || c.now.Before(c.helloAt) {
 		return
 	}
-	c.helloAt = c.now.Add(helloEvery * c.options.Timing.Heartbeat)
+	c.helloAt = c.now.Add(helloIntervalHeartbeats * c.options.Timing.Heartbeat)
 	for _, p := range c.options.Peers {
 		c.send(Member{Name: p}, &messenger.LogMessage{Body: &messenger.LogMessage_Hello{Hello: &messenger.LogHello{}}})
 	}
-	c.found()
+	c.tryFoundDeployment()
 }
 
 func (c *Core) onHello(from Member, deployment string) {
@@ -37,7 +38,7 @@
 		c.send(from, &messenger.LogMessage{Body: &messenger.LogMessage_HelloReply{HelloReply: &messenger.LogHelloReply{
 			Founded: c.deployment != "",
 		}}})
-		c.learn(from)
+		c.addLearner(from)
 	}
 }
 
@@ -47,14 +48,15 @@
 		return
 	}
 	c.unfounded[from.Name] = from.Incarnation
-	c.found()
+	c.tryFoundDeployment()
 }
 
-// found begins a new deployment. An emptied disk must not found a second one
-// beside the deployment that it has forgotten, so every other keeper of the
-// settings must have said, after this disk was emptied, that its own is empty
-// too; the first in name order then founds.
-func (c *Core) found() {
+// tryFoundDeployment founds a deployment if all keepers in the settings have
+// empty disks. A keeper whose disk was erased must not found a second
+// deployment beside the one it has forgotten. Therefore every other keeper
+// must have reported an empty disk since then, and only the first by name
+// founds.
+func (c *Core) tryFoundDeployment() {
 	if c.options.NeverFounds || c.deployment != "" || len(c.unfounded) < len(c.options.Peers) {
 		return
 	}
@@ -68,48 +70,48 @@
 	}
 	c.deployment = fmt.Sprintf("%016x%016x", c.options.Rand.Uint64(), c.options.Rand.Uint64())
 	c.term = 1
-	c.dirty = true
+	c.stateDirty = true
 	e := &messenger.LogEntry{
 		Index: 1, Term: 1, Kind: messenger.LogEntryKind_LOG_ENTRY_KIND_MEMBERSHIP,
-		Membership: membershipOf(all[:min(max(c.options.Voters, 1), len(all))]),
+		Membership: membershipToProto(all[:min(max(c.options.Voters, 1), len(all))]),
 	}
 	c.log.append(e)
 	c.writeEntry(e)
-	c.electAt = c.now
+	c.electionAt = c.now
 }
 
-// learn has the leader bring a disk that does not vote up to date.
-func (c *Core) learn(m Member) {
-	if c.role != Leader || c.lead.progress[m] != nil || m == c.self || m.Incarnation == 0 {
+// addLearner makes the leader replicate to a disk that is not a voter.
+func (c *Core) addLearner(m Member) {
+	if c.role != Leader || c.leaderState.progress[m] != nil || m == c.self || m.Incarnation == 0 {
 		return
 	}
-	c.lead.progress[m] = &progress{next: c.log.last() + 1, since: c.now, sinceRound: c.lead.round}
+	c.leaderState.progress[m] = &progress{next: c.log.last() + 1, trackedAt: c.now, trackedRound: c.leaderState.round}
 }
 
-// mendMembership takes one step towards a full set of voters on live disks:
-// a voter whose disk was emptied, or who was silent for long while a spare is
-// ready, or whom the settings no longer name, leaves; then a complete copy
-// joins. Two steps, each waiting for the
-// commit of the one before, keep every two majorities overlapping.
-func (c *Core) mendMembership() {
+// repairMembership takes one step towards a full set of voters with live
+// disks. First it removes a voter whose disk was erased, that was silent for
+// long while a spare is ready, or that the settings no longer name. Then it
+// adds a disk with a complete copy. Each step waits until the previous one is
+// committed, so that any two majorities overlap.
+func (c *Core) repairMembership() {
 	if !c.Ready() || c.log.votersIndex > c.commit {
 		return
 	}
-	if c.retire() {
+	if c.removeUnconfiguredVoter() {
 		return
 	}
 	for _, l := range c.members() {
-		if c.complete(l) && c.seat(l) {
+		if c.isCaughtUp(l) && c.promoteLearner(l) {
 			return
 		}
 	}
 }
 
-// retire removes a voter that the settings no longer name, once it is silent,
-// and reports whether it did.
-func (c *Core) retire() bool {
+// removeUnconfiguredVoter removes a silent voter that the settings no longer
+// name, and reports whether it did.
+func (c *Core) removeUnconfiguredVoter() bool {
 	for i, v := range c.log.voters {
-		if v != c.self && !slices.Contains(c.options.Peers, v.Name) && c.mayRemove(v) {
+		if v != c.self && !slices.Contains(c.options.Peers, v.Name) && c.canRemove(v) {
 			c.changeVoters(slices.Delete(c.Voters(), i, i+1))
 			return true
 		}
@@ -117,56 +119,59 @@
 	return false
 }
 
-// complete reports whether a disk that does not vote has all that is
-// committed. Late messages of a disk that is gone must not bring it back.
-func (c *Core) complete(l Member) bool {
-	p := c.lead.progress[l]
-	return !slices.Contains(c.log.voters, l) && c.live(p) && p.round > p.sinceRound && p.match >= c.commit
+// isCaughtUp reports whether a disk that is not a voter has all committed
+// entries. The disk must have answered a round since tracking began, so that
+// late messages from a lost disk do not add it again.
+func (c *Core) isCaughtUp(l Member) bool {
+	p := c.leaderState.progress[l]
+	return !slices.Contains(c.log.voters, l) && c.isResponsive(p) && p.round > p.trackedRound && p.match >= c.commit
 }
 
-// seat takes the next step to the vote of a complete copy and reports whether
-// there was one. Two disks of one name never vote at the same time: the older
-// one is lost, and would count against every majority.
-func (c *Core) seat(l Member) bool {
+// promoteLearner takes the next step towards making a learner a voter, and
+// reports whether there was one. Two disks of the same keeper never vote at
+// the same time: the older one is lost and would count against every majority.
+func (c *Core) promoteLearner(l Member) bool {
 	i := slices.IndexFunc(c.log.voters, func(v Member) bool { return v.Name == l.Name })
 	if i < 0 && len(c.log.voters) < c.options.Voters {
 		c.changeVoters(append(c.Voters(), l))
 		return true
 	}
 	if i < 0 {
-		i = slices.IndexFunc(c.log.voters, c.longSilent)
+		i = slices.IndexFunc(c.log.voters, c.isReplaceable)
 	}
-	if i < 0 || !c.mayRemove(c.log.voters[i]) {
+	if i < 0 || !c.canRemove(c.log.voters[i]) {
 		return false
 	}
 	c.changeVoters(slices.Delete(c.Voters(), i, i+1))
 	return true
 }
 
-func (c *Core) longSilent(v Member) bool {
-	p := c.lead.progress[v]
+// isReplaceable reports whether a voter was silent for longer than
+// the Replace timeout.
+func (c *Core) isReplaceable(v Member) bool {
+	p := c.leaderState.progress[v]
 	return p != nil && c.now.Sub(p.ackedAt) > c.options.Timing.Replace
 }
 
-// mayRemove reports whether a voter is silent and the voters that answer are
-// a majority without it: otherwise its removal could not be committed.
-func (c *Core) mayRemove(v Member) bool {
+// canRemove reports whether a voter is silent and the responsive voters form a
+// majority without it. Otherwise its removal could not be committed.
+func (c *Core) canRemove(v Member) bool {
 	live := 0
 	for _, o := range c.log.voters {
-		if o == c.self || c.lead.progress[o] != nil && c.live(c.lead.progress[o]) {
+		if o == c.self || c.leaderState.progress[o] != nil && c.isResponsive(c.leaderState.progress[o]) {
 			live++
 		}
 	}
-	p := c.lead.progress[v]
-	return p != nil && !c.live(p) && live > (len(c.log.voters)-1)/2
+	p := c.leaderState.progress[v]
+	return p != nil && !c.isResponsive(p) && live > (len(c.log.voters)-1)/2
 }
 
-func (c *Core) live(p *progress) bool {
+func (c *Core) isResponsive(p *progress) bool {
 	return !p.ackedAt.IsZero() && c.now.Sub(p.ackedAt) < c.options.Timing.Election
 }
 
 func (c *Core) changeVoters(voters []Member) {
 	slices.SortFunc(voters, compareMembers)
-	c.appendOwn(&messenger.LogEntry{Kind: messenger.LogEntryKind_LOG_ENTRY_KIND_MEMBERSHIP, Membership: membershipOf(voters)})
+	c.appendLeaderEntry(&messenger.LogEntry{Kind: messenger.LogEntryKind_LOG_ENTRY_KIND_MEMBERSHIP, Membership: membershipToProto(voters)})
 	c.trackMembers()
 }
--- a/replicator/pool_test.go
+++ b/replicator/pool_test.go
@@ -13,8 +13,8 @@
 	"rattanhoist.example/rattanhoist/replicator"
 )
 
-// register is the oracle's machine: a change "id/base" counts if base is the
-// number of changes before it.
+// register is the state machine of the test model. A change "id/base" is
+// accepted if base is the number of changes before it.
 type register struct{ history []string }
 
 func (r *register) Apply(data []byte) any {
@@ -43,38 +43,38 @@
 	core    *replicator.Core
 	machine *register
 	disk    map[string]map[string][]byte
-	// Rand outlives a restart, as the system's randomness does.
+	// rand is kept across restarts, like the randomness of the system.
 	rand *rand.Rand
-	// Now is the node's own clock: the clocks run apart without bound.
+	// now is the node's own clock. Clocks may drift apart without limit.
 	now time.Time
 }
 
-type ask struct {
+type pendingRequest struct {
 	id    string
 	floor uint64
 }
 
 type pool struct {
 	t rapid.TB
-	// Draw is nil where a test has a fixed sequence.
+	// draw is nil in tests with a fixed sequence.
 	draw     *rapid.T
 	names    []string
 	nodes    map[string]*node
 	messages []*messenger.LogMessage
 	cut      map[string]bool
 	ticket   replicator.Ticket
-	asked    map[replicator.Ticket]ask
-	// Acked maps change ids to the versions that were acknowledged.
+	asked    map[replicator.Ticket]pendingRequest
+	// acked maps change IDs to the versions that were acknowledged.
 	acked map[string]int
-	// Floor is the highest index that anybody was shown as committed.
+	// floor is the highest index that was shown to anybody as committed.
 	floor   uint64
 	leaders map[string]replicator.Member
 	ids     int
 	voters  int
 	timing  replicator.Timing
-	// Retired is a name that the settings no longer have.
+	// retired is a name that is no longer in the settings.
 	retired string
-	// Reads and wiped count what happened, against a test of nothing.
+	// reads and wiped count events, so that a test in which nothing happens fails.
 	reads, wiped int
 }
 
@@ -84,7 +84,7 @@
 	p := &pool{
 		voters: voters, timing: timing,
 		t: t, nodes: map[string]*node{}, cut: map[string]bool{},
-		asked: map[replicator.Ticket]ask{}, acked: map[string]int{}, leaders: map[string]replicator.Member{},
+		asked: map[replicator.Ticket]pendingRequest{}, acked: map[string]int{}, leaders: map[string]replicator.Member{},
 	}
 	for i := range n {
 		p.names = append(p.names, string(rune('a'+i)))
@@ -112,8 +112,8 @@
 	}
 	actions, err := r.Start(n.now)
 	if err != nil {
-		// Only a torn write brings this about, and torn allows it only where
-		// losing the disk is allowed.
+		// Only a torn write causes this error, and writes are torn only if the disk
+		// may be lost.
 		n.disk = map[string]map[string][]byte{}
 		p.start(name)
 		return
@@ -178,8 +178,8 @@
 	}
 }
 
-// checkVoters finds two changes of membership under way at once: their
-// majorities need not overlap.
+// checkVoters fails if two membership changes are in progress at once, because
+// their majorities need not overlap.
 func (p *pool) checkVoters(c *replicator.Core) {
 	now, before := c.Voters(), c.CommittedVoters()
 	differ := len(now) + len(before)
@@ -210,12 +210,13 @@
 
 func (p *pool) name() string { return rapid.SampledFrom(p.names).Draw(p.draw, "node") }
 
-// propose offers a change, new or sent again, based on what the node knows.
+// propose sends a new or repeated change, based on the version that the node
+// knows.
 func (p *pool) propose(name string) {
 	p.offer(name, rapid.IntRange(0, p.ids).Draw(p.draw, "again"))
 }
 
-// offer proposes change number again, or a new one where that is 0.
+// offer proposes change number again, or a new change if again is 0.
 func (p *pool) offer(name string, again int) {
 	if again == 0 || again%2 == 0 {
 		p.ids++
@@ -223,17 +224,18 @@
 	}
 	id := fmt.Sprint("c", again)
 	p.ticket++
-	p.asked[p.ticket] = ask{id: id}
+	p.asked[p.ticket] = pendingRequest{id: id}
 	p.step(name, replicator.Propose{Ticket: p.ticket, Data: fmt.Appendf(nil, "%s/%d", id, len(p.nodes[name].machine.history))})
 }
 
 func (p *pool) read(name string) {
 	p.ticket++
-	p.asked[p.ticket] = ask{floor: p.floor}
+	p.asked[p.ticket] = pendingRequest{floor: p.floor}
 	p.step(name, replicator.Read{Ticket: p.ticket})
 }
 
-// deliver takes one message, which may be lost or stay for a second delivery.
+// deliver delivers one message, which may be lost or kept for a second
+// delivery.
 func (p *pool) deliver(i int, keep bool) {
 	m := p.messages[i]
 	if !keep {
@@ -248,9 +250,9 @@
 	}
 }
 
-// mayLose reports whether the disk of a keeper may be lost: a majority of
-// every membership that anybody goes by must keep its disks.
-func (p *pool) mayLose(name string) bool {
+// canLoseDisk reports whether the disk of a keeper may be lost. A majority of
+// every membership that any keeper uses must keep its disks.
+func (p *pool) canLoseDisk(name string) bool {
 	for _, n := range p.nodes {
 		v := n.core.Voters()
 		if n.core.Deployment() == "" || n.core.Commit() == 0 {
@@ -269,7 +271,8 @@
 	return true
 }
 
-// settle heals everything and runs until one leader has everybody's copy.
+// settle removes all faults and runs until there is one leader and everybody
+// has its copy.
 func (p *pool) settle() {
 	p.cut = map[string]bool{}
 	last := fmt.Sprint("last", p.ids)
@@ -286,7 +289,7 @@
 		for _, n := range p.names {
 			if c := p.nodes[n].core; c.Ready() && p.acked[last] == 0 {
 				p.ticket++
-				p.asked[p.ticket] = ask{id: last}
+				p.asked[p.ticket] = pendingRequest{id: last}
 				p.step(n, replicator.Propose{Ticket: p.ticket, Data: fmt.Appendf(nil, "%s/%d", last, len(p.nodes[n].machine.history))})
 			}
 		}
@@ -308,7 +311,8 @@
 	return true
 }
 
-// checkAcked looks for every acknowledged change once, at its version.
+// checkAcked checks that every acknowledged change appears exactly once, at
+// its version.
 func (p *pool) checkAcked() {
 	for name, n := range p.nodes {
 		for id, v := range p.acked {
--- a/replicator/replicator.go
+++ b/replicator/replicator.go
@@ -1,9 +1,11 @@
-// Package replicator keeps one log on several keepers: what a majority has on
-// disk is committed, in one order, and survives the loss of any minority.
+// Package replicator implements a replicated log in the style of Raft. An
+// entry is committed once a majority of voters has it on disk. All keepers see
+// committed entries in the same order, and entries survive the loss of any
+// minority.
 //
-// Core is a pure state machine: time, randomness, messages and the rows of
-// the disk come in as arguments. Its shell must make the rows of a step
-// durable before it carries out any other action of that step.
+// Core is a pure state machine: time, randomness, messages and stored rows are
+// passed in as arguments. Its caller must make the rows of a step durable
+// before it carries out any other action of that step.
 package replicator
 
 import (
@@ -18,135 +20,145 @@
 
 // Errors of the log. Compare with errors.Is.
 var (
-	// ErrCorrupt says that the disk lost or changed what may have been
-	// acknowledged; the keeper must come back with an empty disk.
+	// ErrCorrupt reports that the disk lost or changed data that may have been
+	// acknowledged. The keeper must restart with an empty disk.
 	ErrCorrupt = merry.Sentinel("log on disk is corrupt")
-	// ErrDiverged says that a message contradicts what is committed here.
+	// ErrDiverged reports that a message contradicts the entries committed here.
 	ErrDiverged = merry.Sentinel("log contradicts what is committed")
 )
 
-// Member is one disk of one keeper.
+// Member identifies one disk of one keeper.
 type Member struct {
 	// Name is the keeper's name in the settings.
 	Name string
-	// Incarnation is drawn once for each empty disk; 0 stands for any.
+	// Incarnation is a random number drawn once for each empty disk. 0 matches any
+	// incarnation.
 	Incarnation uint64
 }
 
-// Role is what a core is in its term.
+// Role is the role of a core in its current term.
 type Role int
 
 // Roles of a core.
 const (
 	Follower Role = iota
-	// Trial asks whether an election would be won, without a new term.
+	// PreCandidate asks whether it would win an election, without starting a new
+	// term (a pre-vote).
 	Trial
 	Candidate
 	Leader
 )
 
-// Timing holds the waits of a core.
+// Timing holds the intervals and timeouts of a core.
 type Timing struct {
-	// Heartbeat is the pause between broadcasts of a leader.
+	// HeartbeatInterval is the interval between broadcasts of a leader.
 	Heartbeat time.Duration
-	// Election is the least silence of a leader before another is elected,
-	// and the longest that a leader goes on without a majority. The actual
-	// wait is drawn from Election to twice that.
+	// ElectionTimeout is the minimum silence of a leader before an election
+	// starts, and the maximum time that a leader stays in office without a
+	// majority. The actual wait is drawn from ElectionTimeout to twice that.
 	Election time.Duration
-	// Replace is the silence after which a spare takes a voter's place.
+	// Replace is the silence after which a spare replaces a voter.
 	Replace time.Duration
 }
 
-// DefaultTiming elects a new leader well under 2 s after the old one's death.
+// DefaultTiming returns timings that elect a new leader well under 2 s after
+// the failure of the old one.
 func DefaultTiming() Timing {
 	return Timing{Heartbeat: 100 * time.Millisecond, Election: 600 * time.Millisecond, Replace: 10 * time.Minute}
 }
 
-// Machine is the state that committed entries build up. Its methods must
-// depend on nothing but the entries.
+// StateMachine is the state built from committed entries. Its methods must be
+// deterministic functions of the entries.
 type Machine interface {
-	// Apply takes a committed change in and returns its result.
+	// Apply applies a committed change and returns its result.
 	Apply(data []byte) any
 	Snapshot() []byte
 	Restore(snapshot []byte) error
 }
 
-// Options describe a core.
+// Options configures a core.
 type Options struct {
 	Name string
 	// Peers are the names of the other keepers in the settings.
 	Peers []string
-	// Voters is how many keepers vote; the others are spares.
+	// Voters is the number of keepers that vote. The others are spares.
 	Voters  int
 	Timing  Timing
 	Rand    *rand.Rand
 	Machine Machine
-	// CompactAfter is the number of applied entries kept beside a snapshot;
-	// 0 stands for the default.
+	// CompactAfter is the number of applied entries after which a snapshot is
+	// taken. Half of them are retained beside it. 0 selects the default.
 	CompactAfter int
-	// CompactBytes is how many bytes of applied entries call for a snapshot
-	// before CompactAfter does; 0 for no such bound.
+	// CompactBytes is the size of applied entries above which a snapshot is taken
+	// before CompactAfter is reached. 0 disables the limit.
 	CompactBytes int
-	// NeverFounds keeps an empty disk from founding a deployment: it waits to
-	// be taken into one. Where members find each other through seeds, a disk
-	// that was emptied knows too few names to tell that it is the first.
+	// NoFounding prevents a keeper with an empty disk from founding a deployment,
+	// so that it waits to be added to one. It is needed where members discover
+	// each other through seeds: a keeper whose disk was erased knows too few names
+	// to tell whether it is the first.
 	NeverFounds bool
 }
 
 const (
 	defaultCompactAfter = 4096
-	// keptAfterBytes is the number of entries kept beside a snapshot that
-	// CompactBytes called for: each may be large.
-	keptAfterBytes = 16
-	// learnerTimeout is the silence after which a learner is forgotten.
+	// retainedAfterBytesLimit is the number of entries retained beside a snapshot
+	// triggered by CompactBytes. It is small because each entry may be large.
+	retainedAfterBytesLimit = 16
+	// learnerTimeout is the silence after which a leader stops tracking a learner.
 	learnerTimeout = 10 * time.Second
-	// startPart and startSpread of the election timeout are the least wait and
-	// its spread after a start: 0.1 to 0.4 of 0.6 s.
-	startPart   = 6
-	startSpread = 2
-	// helloEvery is in heartbeats.
-	helloEvery = 3
+	// startupMinDivisor and startupSpreadDivisor divide the election timeout to
+	// get the minimum and the random part of the wait after a start: 0.1 to 0.4 s
+	// for a timeout of 0.6 s.
+	startupMinDivisor    = 6
+	startupSpreadDivisor = 2
+	// helloIntervalHeartbeats is the interval between hello messages, in heartbeat
+	// intervals.
+	helloIntervalHeartbeats = 3
 )
 
-// Core is the log of one keeper. It is not safe for concurrent use.
+// Core is the consensus state of one keeper. It is not safe for concurrent
+// use.
 type Core struct {
 	options    Options
 	self       Member
 	deployment string
 	term       uint64
-	// Vote is the candidate that got this term's vote, durable before any
-	// reply says so.
+	// vote is the candidate that received the vote in this term. It is made
+	// durable before the reply is sent.
 	vote   Member
 	role   Role
 	leader Member
 	log    entryLog
-	// Commit never goes back and is durable before what it shows leaves.
+	// commit is the highest index known to be committed. It never decreases and is
+	// durable before anything that depends on it is sent.
 	commit  uint64
 	applied uint64
-	// AppliedBytes counts the data applied since the last snapshot.
+	// appliedBytes is the size of the data applied since the last snapshot.
 	appliedBytes int
 
 	now time.Time
-	// Heard is when a leader of the current term was last heard of.
-	heard   time.Time
-	electAt time.Time
-	// AskAt is when those are asked again who have not granted a vote.
-	askAt   time.Time
-	helloAt time.Time
-	// ConfirmedAt is when a majority last confirmed the copy held here.
+	// leaderHeardAt is when the leader of the current term last sent a message.
+	leaderHeardAt time.Time
+	electionAt    time.Time
+	// voteRetryAt is when voters that have not granted a vote are asked again.
+	voteRetryAt time.Time
+	helloAt     time.Time
+	// confirmedAt is when a majority last confirmed that the local copy is
+	// current.
 	confirmedAt time.Time
 	votes       map[Member]bool
-	// Unfounded holds the peers that answered that their disk is empty.
-	unfounded map[string]uint64
-	lead      leadership
-
-	dirty  bool
-	writes []Action
-	out    []Action
-	halted bool
+	// unfounded maps the peers that reported an empty disk to their incarnations.
+	unfounded   map[string]uint64
+	leaderState leaderState
+
+	stateDirty bool
+	writes     []Action
+	actions    []Action
+	halted     bool
 }
 
-// NewCore returns a core without state; Restore and Start follow.
+// NewCore returns a core without state. Load its rows with NewRestorer and
+// Restorer.Start before the first Step.
 func NewCore(o Options) *Core {
 	if o.CompactAfter == 0 {
 		o.CompactAfter = defaultCompactAfter
@@ -154,52 +166,53 @@
 	return &Core{options: o, self: Member{Name: o.Name}, unfounded: map[string]uint64{}}
 }
 
-// Self returns the name and the incarnation of this disk.
+// Self returns the name and incarnation of the local disk.
 func (c *Core) Self() Member { return c.self }
 
-// SetPeers replaces the names of the other keepers: where members find each
-// other, names come and go.
+// SetPeers replaces the names of the other keepers, which change where members
+// discover each other.
 func (c *Core) SetPeers(names []string) { c.options.Peers = slices.Clone(names) }
 
-// Role returns what the core is in its term.
+// Role returns the role of the core in its current term.
 func (c *Core) Role() Role { return c.role }
 
 // Term returns the current term.
 func (c *Core) Term() uint64 { return c.term }
 
-// Leader returns the leader of the term, or the zero Member.
+// Leader returns the known leader of the current term, or the zero Member.
 func (c *Core) Leader() Member { return c.leader }
 
 // Commit returns the last index known to be committed.
 func (c *Core) Commit() uint64 { return c.commit }
 
-// Deployment returns the identity of the deployment, or "" before founding.
+// Deployment returns the ID of the deployment, or "" before it is founded.
 func (c *Core) Deployment() string { return c.deployment }
 
-// Voters returns the members whose majority commits.
+// Voters returns the latest membership in the log, committed or not. A
+// majority of it commits entries.
 func (c *Core) Voters() []Member { return slices.Clone(c.log.voters) }
 
-// CommittedVoters returns the members of the last committed membership.
+// CommittedVoters returns the voters of the last committed membership.
 func (c *Core) CommittedVoters() []Member { return c.log.votersAt(c.commit) }
 
-// Voter reports whether this disk votes.
+// IsVoter reports whether the local disk is a voter.
 func (c *Core) Voter() bool { return slices.Contains(c.log.voters, c.self) }
 
-// Ready reports whether the core leads and knows all that was committed
-// before its term.
-func (c *Core) Ready() bool { return c.role == Leader && c.applied >= c.lead.firstIndex }
+// Ready reports whether the core is the leader and has applied everything that
+// was committed before its term.
+func (c *Core) Ready() bool { return c.role == Leader && c.applied >= c.leaderState.firstIndex }
 
-// ConfirmedAt returns when a majority last confirmed the copy held here; zero
-// when none has since the start.
+// ConfirmedAt returns when a majority last confirmed that the local copy is
+// current, or the zero time if none has since the start.
 func (c *Core) ConfirmedAt() time.Time {
 	if c.role == Leader {
-		return c.lead.confirmedAt
+		return c.leaderState.confirmedAt
 	}
 	return c.confirmedAt
 }
 
-// Step handles one event. The caller must sync the Write actions, which come
-// first, before it carries out the others.
+// Step handles one event. The returned Write actions come first, and the
+// caller must sync them before it carries out the others.
 func (c *Core) Step(now time.Time, e Event) []Action {
 	if c.halted {
 		return nil
@@ -216,24 +229,25 @@
 	case Read:
 		c.read(e)
 	}
-	c.advance()
-	return c.take()
+	c.finishStep()
+	return c.takeActions()
 }
 
-// take returns the actions gathered so far, durable rows first.
-func (c *Core) take() []Action {
-	if c.dirty {
+// takeActions returns and clears the collected actions, with durable rows
+// first and the state row last among them.
+func (c *Core) takeActions() []Action {
+	if c.stateDirty {
 		c.writes = append(c.writes, c.stateRow())
-		c.dirty = false
+		c.stateDirty = false
 	}
-	out := append(c.writes, c.out...)
-	c.writes, c.out = nil, nil
+	out := append(c.writes, c.actions...)
+	c.writes, c.actions = nil, nil
 	return out
 }
 
 func (c *Core) halt(err error) {
 	c.halted = true
-	c.out = append(c.out, Halt{Err: err})
+	c.actions = append(c.actions, Halt{Err: err})
 }
 
 func (c *Core) tick() {
@@ -241,27 +255,27 @@
 		c.tickLeader()
 		return
 	}
-	c.sayHello()
-	if c.Voter() && !c.now.Before(c.electAt) {
-		c.beginTrial()
+	c.sendHello()
+	if c.Voter() && !c.now.Before(c.electionAt) {
+		c.startPreVote()
 		return
 	}
-	c.askAgain()
+	c.retryVoteRequests()
 }
 
-// restTimer draws the wait before the next election: drawn at random, so that
-// two keepers seldom split the votes.
-func (c *Core) restTimer() {
+// resetElectionTimer sets a random wait before the next election. Randomness
+// makes split votes between keepers unlikely.
+func (c *Core) resetElectionTimer() {
 	e := c.options.Timing.Election
-	c.electAt = c.now.Add(e + time.Duration(c.options.Rand.Int64N(int64(e))))
+	c.electionAt = c.now.Add(e + time.Duration(c.options.Rand.Int64N(int64(e))))
 }
 
-// startTimer draws a shorter wait for a core that has just started: after a
-// loss of power of all keepers nobody leads, and a trial vote disturbs no
-// leader that lives.
-func (c *Core) startTimer() {
+// setStartupElectionTimer sets a shorter random wait after a start. If all
+// keepers lost power there is no leader, and a pre-vote does not disturb a
+// leader that is still alive.
+func (c *Core) setStartupElectionTimer() {
 	e := c.options.Timing.Election
-	c.electAt = c.now.Add(e/startPart + time.Duration(c.options.Rand.Int64N(int64(e/startSpread))))
+	c.electionAt = c.now.Add(e/startupMinDivisor + time.Duration(c.options.Rand.Int64N(int64(e/startupSpreadDivisor))))
 }
 
 func (c *Core) send(to Member, m *messenger.LogMessage) {
@@ -271,11 +285,11 @@
 	if m.Term == 0 {
 		m.Term = c.term
 	}
-	c.out = append(c.out, Send{Message: m})
+	c.actions = append(c.actions, Send{Message: m})
 }
 
 func (c *Core) receive(m *messenger.LogMessage) {
-	from, to := memberOf(m.From), memberOf(m.To)
+	from, to := memberFromProto(m.From), memberFromProto(m.To)
 	if to.Name != c.self.Name || to.Incarnation != 0 && to.Incarnation != c.self.Incarnation {
 		return
 	}
@@ -287,7 +301,7 @@
 		c.onHelloReply(from, b.HelloReply)
 		return
 	}
-	if !c.adopt(m, to) || !c.followTerm(m) {
+	if !c.checkDeployment(m, to) || !c.followTerm(m) {
 		return
 	}
 	switch b := m.Body.(type) {
@@ -304,9 +318,10 @@
 	}
 }
 
-// followTerm moves to a newer term and reports whether the message belongs to
-// the current one. A trial vote and its grant name a term that nobody is in
-// yet.
+// followTerm adopts a newer term and reports whether the message belongs to
+// the current term. Pre-votes and their grants are always accepted, because
+// they name a term that has not started yet. Vote requests for a newer term
+// are ignored while the leader is alive.
 func (c *Core) followTerm(m *messenger.LogMessage) bool {
 	v, trial := m.Body.(*messenger.LogMessage_Vote)
 	if trial && v.Vote.Trial {
@@ -316,23 +331,23 @@
 	if reply && r.VoteReply.Trial && r.VoteReply.Granted {
 		return true
 	}
-	if _, vote := m.Body.(*messenger.LogMessage_Vote); vote && m.Term > c.term && c.leaderAlive() {
+	if _, vote := m.Body.(*messenger.LogMessage_Vote); vote && m.Term > c.term && c.hasLiveLeader() {
 		return false
 	}
 	switch {
 	case m.Term > c.term:
 		c.becomeFollower(m.Term, Member{})
 	case m.Term < c.term:
-		c.refuseStale(m)
+		c.rejectStale(m)
 		return false
 	}
 	return true
 }
 
-// refuseStale tells a stale leader or candidate the newer term: without it a
-// leader that was cut off would go on until its majority fails it.
-func (c *Core) refuseStale(m *messenger.LogMessage) {
-	from := memberOf(m.From)
+// rejectStale informs a stale leader or candidate of the newer term. Otherwise
+// a leader that was partitioned would continue until it loses its majority.
+func (c *Core) rejectStale(m *messenger.LogMessage) {
+	from := memberFromProto(m.From)
 	switch b := m.Body.(type) {
 	case *messenger.LogMessage_Append:
 		c.send(from, appendReply(false, c.log.last(), b.Append.Round))
@@ -346,14 +361,14 @@
 func (c *Core) becomeFollower(term uint64, leader Member) {
 	if term > c.term {
 		c.term, c.vote = term, Member{}
-		c.dirty = true
+		c.stateDirty = true
 	}
 	if c.role == Leader {
-		c.loseLeadership()
+		c.abandonPending()
 	}
 	if c.role != Follower {
 		c.role = Follower
-		c.restTimer()
+		c.resetElectionTimer()
 	}
 	c.leader = leader
 }
--- a/replicator/rows.go
+++ b/replicator/rows.go
@@ -27,27 +27,27 @@
 // Buckets lists the buckets to restore, in order.
 var Buckets = []string{bucketState, bucketSnapshot, bucketEntries}
 
-// Restorer gathers the rows of a disk until Start checks them as a whole.
+// Restorer collects the rows of a disk, which Start validates together.
 type Restorer struct {
 	core     *Core
 	state    *messenger.LogState
 	snapshot *messenger.LogSnapshot
 	entries  map[uint64]*messenger.LogEntry
-	// Keys holds the index of every entry row, readable or not.
-	keys []uint64
-	rows int
-	bad  []string
+	// entryIndexes holds the index of every entry row, readable or not.
+	entryIndexes []uint64
+	rowCount     int
+	badRows      []string
 }
 
-// NewRestorer returns a restorer of the core's rows.
+// NewRestorer returns a restorer for the core.
 func (c *Core) NewRestorer() *Restorer {
 	return &Restorer{core: c, entries: map[uint64]*messenger.LogEntry{}}
 }
 
-// Row takes one row in.
+// AddRow adds one row.
 func (r *Restorer) Row(bucket, key string, value []byte) {
-	r.rows++
-	payload, ok := unframe(bucket, key, value)
+	r.rowCount++
+	payload, ok := decodeRow(bucket, key, value)
 	switch bucket {
 	case bucketState:
 		r.state = &messenger.LogState{}
@@ -56,42 +56,43 @@
 		r.snapshot = &messenger.LogSnapshot{}
 		ok = ok && proto.Unmarshal(payload, r.snapshot) == nil
 	case bucketEntries:
-		r.entry(key, payload, ok)
+		r.addEntry(key, payload, ok)
 		return
 	}
 	if !ok {
-		r.bad = append(r.bad, bucket+"/"+key)
+		r.badRows = append(r.badRows, bucket+"/"+key)
 	}
 }
 
-func (r *Restorer) entry(key string, payload []byte, ok bool) {
+func (r *Restorer) addEntry(key string, payload []byte, ok bool) {
 	i, err := strconv.ParseUint(key, 10, 64)
 	if err != nil {
-		r.bad = append(r.bad, bucketEntries+"/"+key)
+		r.badRows = append(r.badRows, bucketEntries+"/"+key)
 		return
 	}
-	r.keys = append(r.keys, i)
+	r.entryIndexes = append(r.entryIndexes, i)
 	e := &messenger.LogEntry{}
 	if ok && proto.Unmarshal(payload, e) == nil && e.Index == i {
 		r.entries[i] = e
 	}
 }
 
-// Start checks the rows and brings the core to the state that they hold. Rows
-// beyond the last index of the state row are cut: the state row is the last
-// of every write, so nothing that depends on them was ever sent. Anything
-// else that is missing or damaged is ErrCorrupt.
+// Start validates the rows and restores the core's state from them. Entry rows
+// beyond the last index of the state row are deleted: the state row is the
+// last of every write, so nothing that depends on them was ever sent. Any
+// other missing or damaged row is ErrCorrupt. Without rows, Start initializes
+// an empty disk with a new incarnation.
 func (r *Restorer) Start(now time.Time) ([]Action, error) {
 	c := r.core
 	c.now = now
-	if r.rows == 0 {
+	if r.rowCount == 0 {
 		c.self.Incarnation = max(c.options.Rand.Uint64(), 1)
-		c.dirty = true
-		c.restTimer()
-		return c.take(), nil
+		c.stateDirty = true
+		c.resetElectionTimer()
+		return c.takeActions(), nil
 	}
-	if len(r.bad) > 0 {
-		return nil, merry.Errorf("%w: unreadable rows: %v", ErrCorrupt, r.bad)
+	if len(r.badRows) > 0 {
+		return nil, merry.Errorf("%w: unreadable rows: %v", ErrCorrupt, r.badRows)
 	}
 	if r.state == nil {
 		return nil, merry.Errorf("%w: the state row is missing", ErrCorrupt)
@@ -99,14 +100,14 @@
 	if err := r.load(); err != nil {
 		return nil, err
 	}
-	c.startTimer()
+	c.setStartupElectionTimer()
 	c.applyCommitted()
-	return c.take(), nil
+	return c.takeActions(), nil
 }
 
 func (r *Restorer) load() error {
 	c, s := r.core, r.state
-	c.self.Incarnation, c.deployment, c.term, c.vote = s.Incarnation, s.Deployment, s.Term, memberOf(s.VotedFor)
+	c.self.Incarnation, c.deployment, c.term, c.vote = s.Incarnation, s.Deployment, s.Term, memberFromProto(s.VotedFor)
 	if err := r.loadSnapshot(); err != nil {
 		return err
 	}
@@ -125,10 +126,10 @@
 	if c.commit > c.log.last() {
 		return merry.Errorf("%w: commit index %d is beyond the last entry %d", ErrCorrupt, c.commit, c.log.last())
 	}
-	slices.Sort(r.keys)
-	for _, i := range r.keys {
+	slices.Sort(r.entryIndexes)
+	for _, i := range r.entryIndexes {
 		if i <= c.log.base || i > s.LastIndex {
-			c.dropEntries(i, i)
+			c.deleteEntryRows(i, i)
 		}
 	}
 	return nil
@@ -154,45 +155,45 @@
 
 func (c *Core) writeEntry(e *messenger.LogEntry) {
 	c.write(bucketEntries, entryKey(e.Index), e)
-	c.dirty = true
+	c.stateDirty = true
 }
 
 func (c *Core) writeSnapshot() {
 	c.write(bucketSnapshot, keySnapshot, c.log.snapshot)
-	c.dirty = true
+	c.stateDirty = true
 }
 
-func (c *Core) dropEntries(from, to uint64) {
+func (c *Core) deleteEntryRows(from, to uint64) {
 	for i := from; i <= to; i++ {
 		c.writes = append(c.writes, Write{Bucket: bucketEntries, Key: entryKey(i)})
 	}
-	c.dirty = true
+	c.stateDirty = true
 }
 
 func (c *Core) stateRow() Write {
-	return frame(bucketState, keyState, &messenger.LogState{
+	return encodeRow(bucketState, keyState, &messenger.LogState{
 		Deployment: c.deployment, Incarnation: c.self.Incarnation, Term: c.term, VotedFor: c.vote.proto(),
 		LastIndex: c.log.last(), CommitIndex: c.commit,
 	})
 }
 
 func (c *Core) write(bucket, key string, m proto.Message) {
-	c.writes = append(c.writes, frame(bucket, key, m))
+	c.writes = append(c.writes, encodeRow(bucket, key, m))
 }
 
-// frame puts a checksum over place and payload before a row: a row that was
-// torn or that holds an older write is found out at the next start.
-func frame(bucket, key string, m proto.Message) Write {
+// encodeRow prepends a checksum of the bucket, key and payload to a row. It
+// detects rows that are torn or hold an older write at the next start.
+func encodeRow(bucket, key string, m proto.Message) Write {
 	payload, err := proto.Marshal(m)
 	if err != nil {
-		// Messages of this package have no required fields or bad strings.
+		// Messages of this package have no required fields and no invalid UTF-8.
 		panic(err)
 	}
 	value := binary.BigEndian.AppendUint64(nil, checksum(bucket, key, payload))
 	return Write{Bucket: bucket, Key: key, Value: append(value, payload...)}
 }
 
-func unframe(bucket, key string, value []byte) ([]byte, bool) {
+func decodeRow(bucket, key string, value []byte) ([]byte, bool) {
 	if len(value) < checksumBytes {
 		return nil, false
 	}
