--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -25,10 +25,10 @@
 	// MinService is the lower bound of the time from dispatch to the end of
 	// the response; a request dispatched after Deadline-MinService is
 	// certain to miss its deadline.
-	Least time.Duration
+	MinService time.Duration
 	// RandomValue in [0, 1) is the random draw for shedders that reject a
 	// fraction of the requests.
-	Random float64
+	RandomValue float64
 }
 
 // Priorities is the number of priority levels.
@@ -40,7 +40,7 @@
 	Wait time.Duration
 	// Load is the number of requests in progress and waiting, divided by the
 	// concurrency limit.
-	Fill float64
+	Load float64
 	// Waiting is the number of requests that are already waiting.
 	Waiting int
 }
@@ -48,7 +48,7 @@
 // Shedder decides whether an arriving request is rejected, and after which time
 // its caller may retry. ShouldShed is called while the queue is locked.
 type Shedder interface {
-	Shed(now time.Duration, r Request, f Forecast) (refused bool, after time.Duration)
+	ShouldShed(now time.Duration, r Request, f Forecast) (refused bool, after time.Duration)
 }
 
 // Default is the shedder used for names that are not registered.
--- a/admitter/admitter_test.go
+++ b/admitter/admitter_test.go
@@ -34,7 +34,7 @@
 func request(id uint64, workspace string, priority int, deadline time.Duration) admitter.Request {
 	return admitter.Request{
 		ID: id, Workspace: workspace, Priority: priority, Deadline: deadline,
-		Tokens: 100, Service: 2 * time.Second, Least: time.Second,
+		Tokens: 100, Service: 2 * time.Second, MinService: time.Second,
 	}
 }
 
@@ -68,7 +68,7 @@
 	// Five requests of 2 s and half of the one in progress are ahead: 11 s of
 	// waiting and 2 s of service end 3 s after the deadline of 10 s.
 	out := q.Step(0, arrive(request(9, "w", 1, 10*time.Second), 1, 1))
-	g.Expect(out).To(gomega.Equal([]admitter.Action{{ID: 9, Verdict: admitter.Shed, After: 3 * time.Second}}))
+	g.Expect(out).To(gomega.Equal([]admitter.Action{{ID: 9, Verdict: admitter.Shed, RetryAfter: 3 * time.Second}}))
 	g.Expect(q.Waiting()).To(gomega.Equal(5))
 }
 
@@ -86,7 +86,7 @@
 	out := q.Step(at+1, admitter.Event{Kind: admitter.Tick, InFlight: 1, Limit: 1})
 	g.Expect(out).To(gomega.HaveLen(1))
 	g.Expect(out[0].Verdict).To(gomega.Equal(admitter.Expired))
-	g.Expect(out[0].After).To(gomega.BeNumerically(">", 0))
+	g.Expect(out[0].RetryAfter).To(gomega.BeNumerically(">", 0))
 }
 
 func TestHigherPriorityStartsFirst(t *testing.T) {
@@ -132,7 +132,7 @@
 func TestFullQueueEvictsLowerPriority(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, _ := admitter.New("none")
-	q := admitter.NewQueue(admitter.Bounds{Waiting: 2, Workspace: 2}, s)
+	q := admitter.NewQueue(admitter.Bounds{MaxWaiting: 2, Workspace: 2}, s)
 	q.Step(0, arrive(request(1, "a", 5, time.Hour), 1, 1))
 	q.Step(0, arrive(request(2, "b", 5, time.Hour), 1, 1))
 	out := q.Step(0, arrive(request(3, "c", 5, time.Hour), 1, 1))
@@ -155,13 +155,13 @@
 	g := gomega.NewWithT(t)
 	s, _ := admitter.New("loss")
 	r := request(1, "w", 0, time.Hour)
-	r.Random = 0.3
+	r.RandomValue = 0.3
 	var refused bool
 	for i := range 20 {
-		refused, _ = s.Shed(time.Duration(i)*time.Second, r, admitter.Forecast{Fill: 2})
+		refused, _ = s.ShouldShed(time.Duration(i)*time.Second, r, admitter.Forecast{Load: 2})
 	}
 	g.Expect(refused).To(gomega.BeTrue())
-	refused, _ = s.Shed(time.Hour, r, admitter.Forecast{Fill: 1})
+	refused, _ = s.ShouldShed(time.Hour, r, admitter.Forecast{Load: 1})
 	g.Expect(refused).To(gomega.BeFalse(), "the rejected fraction is reset after its validity")
 }
 
@@ -171,13 +171,13 @@
 func TestRetryBudget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := admitter.NewRetries()
-	for r.Retry() {
+	for r.AllowRetry() {
 		continue
 	}
 	retries := 0
 	for range 100 {
-		r.First()
-		if r.Retry() {
+		r.RecordRequest()
+		if r.AllowRetry() {
 			retries++
 		}
 	}
@@ -190,7 +190,7 @@
 func TestEveryRequestGetsOneVerdict(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, _ := admitter.New(rapid.SampledFrom(admitter.Names()).Draw(t, "shedder"))
-		b := admitter.Bounds{Waiting: rapid.IntRange(1, 20).Draw(t, "waiting"), Workspace: rapid.IntRange(1, 10).Draw(t, "workspace")}
+		b := admitter.Bounds{MaxWaiting: rapid.IntRange(1, 20).Draw(t, "waiting"), Workspace: rapid.IntRange(1, 10).Draw(t, "workspace")}
 		q := admitter.NewQueue(b, s)
 		open := map[uint64]admitter.Request{}
 		inFlight, now, next := 0, time.Duration(0), uint64(0)
@@ -208,19 +208,19 @@
 				if inFlight++; inFlight > e.Limit {
 					t.Fatalf("started past the limit of %d", e.Limit)
 				}
-				if now > r.Deadline-r.Least {
+				if now > r.Deadline-r.MinService {
 					t.Fatalf("started request %d too late", a.ID)
 				}
 			}
-			if q.Waiting() != len(open) || q.Waiting() > b.Waiting {
-				t.Fatalf("%d wait, %d have no verdict, bound %d", q.Waiting(), len(open), b.Waiting)
+			if q.Waiting() != len(open) || q.Waiting() > b.MaxWaiting {
+				t.Fatalf("%d wait, %d have no verdict, bound %d", q.Waiting(), len(open), b.MaxWaiting)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
 				next++
 				r := request(next, fmt.Sprint("w", rapid.IntRange(0, 3).Draw(t, "w")), rapid.IntRange(-1, 11).Draw(t, "p"), now+time.Duration(rapid.IntRange(500, 20000).Draw(t, "d"))*time.Millisecond)
-				r.Random = rapid.Float64Range(0, 0.999).Draw(t, "random")
+				r.RandomValue = rapid.Float64Range(0, 0.999).Draw(t, "random")
 				open[next] = r
 				step(admitter.Event{Kind: admitter.Arrive, Request: r})
 			},
--- a/admitter/loss.go
+++ b/admitter/loss.go
@@ -24,13 +24,13 @@
 }
 
 // ShouldShed implements Shedder.
-func (l *loss) Shed(now time.Duration, r Request, f Forecast) (bool, time.Duration) {
+func (l *loss) ShouldShed(now time.Duration, r Request, f Forecast) (bool, time.Duration) {
 	if now-l.updatedAt > lossValidity {
 		l.share = 0
 	}
 	if now-l.updatedAt >= lossInterval {
-		l.share = min(max(l.share+lossGain*(f.Fill-lossTargetFill), 0), maxLossShare)
+		l.share = min(max(l.share+lossGain*(f.Load-lossTargetFill), 0), maxLossShare)
 		l.updatedAt = now
 	}
-	return r.Random < l.share, max(f.Wait, lossInterval)
+	return r.RandomValue < l.share, max(f.Wait, lossInterval)
 }
--- a/admitter/next.go
+++ b/admitter/next.go
@@ -58,10 +58,10 @@
 // request admitted by mistake still expires in the queue, whereas one rejected
 // by mistake is lost.
 func (q *Queue) shouldShed(now time.Duration, r Request, f Forecast) (bool, time.Duration) {
-	refused, after := q.shedder.Shed(now, r, f)
+	refused, after := q.shedder.ShouldShed(now, r, f)
 	if refused && now >= q.classes[r.Priority].fairShareUntil {
-		r.Service = r.Least
-		refused, _ = q.shedder.Shed(now, r, f)
+		r.Service = r.MinService
+		refused, _ = q.shedder.ShouldShed(now, r, f)
 	}
 	return refused, after
 }
--- a/admitter/none.go
+++ b/admitter/none.go
@@ -8,4 +8,4 @@
 type none struct{}
 
 // ShouldShed implements Shedder.
-func (none) Shed(time.Duration, Request, Forecast) (bool, time.Duration) { return false, 0 }
+func (none) ShouldShed(time.Duration, Request, Forecast) (bool, time.Duration) { return false, 0 }
--- a/admitter/queue.go
+++ b/admitter/queue.go
@@ -52,19 +52,19 @@
 	ID      uint64
 	Verdict Verdict
 	// RetryAfter is the time after which a rejected request may be retried.
-	After time.Duration
+	RetryAfter time.Duration
 }
 
 // Bounds limits the length of a queue.
 type Bounds struct {
 	// MaxWaiting is the maximum number of waiting requests of all workspaces.
-	Waiting int
+	MaxWaiting int
 	// Workspace is the maximum number of waiting requests of one workspace.
 	Workspace int
 }
 
 // DefaultBounds are the bounds for one service on one router.
-var DefaultBounds = Bounds{Waiting: 256, Workspace: 128}
+var DefaultBounds = Bounds{MaxWaiting: 256, Workspace: 128}
 
 // minRetryAfter is the lower bound of Action.RetryAfter.
 const minRetryAfter = 100 * time.Millisecond
@@ -135,7 +135,7 @@
 
 // latestStart returns the latest dispatch time at which the request can still
 // meet its deadline.
-func (r Request) latestStart() time.Duration { return r.Deadline - r.Least }
+func (r Request) latestStart() time.Duration { return r.Deadline - r.MinService }
 
 // forEach calls f for every waiting request.
 func (q *Queue) forEach(f func(Request)) {
@@ -149,7 +149,7 @@
 }
 
 func (q *Queue) emit(id uint64, v Verdict, after time.Duration) {
-	q.actions = append(q.actions, Action{ID: id, Verdict: v, After: max(after, minRetryAfter)})
+	q.actions = append(q.actions, Action{ID: id, Verdict: v, RetryAfter: max(after, minRetryAfter)})
 }
 
 // refuse rejects a request and starts a period in which the workspaces of its
@@ -201,7 +201,7 @@
 		q.refuse(now, r, Shed, after)
 		return
 	}
-	if q.waiting >= q.bounds.Waiting && !q.evictLowerPriority(now, r.Priority, f.Wait) || q.backlog(r.Workspace) >= q.bounds.Workspace {
+	if q.waiting >= q.bounds.MaxWaiting && !q.evictLowerPriority(now, r.Priority, f.Wait) || q.backlog(r.Workspace) >= q.bounds.Workspace {
 		q.refuse(now, r, Full, f.Wait)
 		return
 	}
@@ -347,7 +347,7 @@
 // requests ahead of it, divided by the number of requests served concurrently.
 func (q *Queue) forecast(r Request, e Event) Forecast {
 	limit := max(e.Limit, 1)
-	f := Forecast{Waiting: q.waiting, Fill: float64(e.InFlight+q.waiting) / float64(limit)}
+	f := Forecast{Waiting: q.waiting, Load: float64(e.InFlight+q.waiting) / float64(limit)}
 	if e.InFlight < e.Limit && q.waiting == 0 {
 		return f
 	}
--- a/admitter/retry_budget.go
+++ b/admitter/retry_budget.go
@@ -27,7 +27,7 @@
 }
 
 // RecordRequest earns credit for a first attempt.
-func (r *Retries) First() {
+func (r *Retries) RecordRequest() {
 	for {
 		u := r.credit.Load()
 		next := min(u+creditPerRequest, maxRetryCredit)
@@ -39,7 +39,7 @@
 
 // AllowRetry spends the credit of one retry, or returns false if the budget is
 // exhausted.
-func (r *Retries) Retry() bool {
+func (r *Retries) AllowRetry() bool {
 	for {
 		u := r.credit.Load()
 		if u < creditPerRetry {
--- a/allotter/allocation.go
+++ b/allotter/allocation.go
@@ -16,7 +16,7 @@
 	scarceHorizon = 5 * time.Second
 	// BoundRiseDelay is how long a bound stays at its ceiling before it rises. If a process
 	// crashes and is back within this delay, only tokens up to the ceiling count as spent.
-	BoundRest = 1800 * time.Millisecond
+	BoundRiseDelay = 1800 * time.Millisecond
 	// defaultRiseDelay is the rise delay of claims that state none.
 	defaultRiseDelay = 1500 * time.Millisecond
 	// A ceiling leaves room for the demand during minCeilingTime, or during the interval until the
@@ -64,7 +64,7 @@
 
 // Allocation holds the tokens of one workspace that a router may spend. All amounts except
 // reserved only grow. It is safe for concurrent use.
-type Purse struct {
+type Allocation struct {
 	mu sync.Mutex
 	// Spent + reserved never exceeds granted - returned + received. Received is the tokens that
 	// other routers lent. The lender counts them as spent, so they are not reported to keepers
@@ -102,7 +102,7 @@
 // Reserve reserves n tokens for a new request, and reports whether they were available. The
 // request counts as demand in both cases. If only served requests counted, a router without tokens
 // would ask for one request's worth at a time.
-func (p *Purse) Reserve(now time.Time, n int64) bool {
+func (p *Allocation) Reserve(now time.Time, n int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.recordDemand(now, n)
@@ -110,14 +110,14 @@
 }
 
 // RetryReserve is Reserve for a request that already counted as demand.
-func (p *Purse) Retry(now time.Time, n int64) bool {
+func (p *Allocation) RetryReserve(now time.Time, n int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reserve(now, n)
 }
 
 // reserve reserves n tokens, or records that a request waits for them.
-func (p *Purse) reserve(now time.Time, n int64) bool {
+func (p *Allocation) reserve(now time.Time, n int64) bool {
 	if p.closed {
 		return false
 	}
@@ -130,7 +130,7 @@
 }
 
 // ClaimAnswered reports whether a keeper has answered a claim for this workspace.
-func (p *Purse) Known() bool {
+func (p *Allocation) ClaimAnswered() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.answered
@@ -138,14 +138,14 @@
 
 // Holds reports whether n unreserved tokens are held, even if the limits do not allow them to be
 // used yet.
-func (p *Purse) Holds(n int64) bool {
+func (p *Allocation) Holds(n int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.closed && n <= p.headroom()
 }
 
 // TryReserve reserves n tokens if they are available, and records nothing otherwise.
-func (p *Purse) TakeHeld(now time.Time, n int64) bool {
+func (p *Allocation) TryReserve(now time.Time, n int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || n > p.headroom() || n > p.remainingAllowed(now) {
@@ -156,7 +156,7 @@
 }
 
 // ReceiveReserved adds n tokens that another router lent for one request and reserves them.
-func (p *Purse) Borrow(n int64) {
+func (p *Allocation) ReceiveReserved(n int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.received += n
@@ -164,7 +164,7 @@
 }
 
 // Settle ends a reservation, of which only a part may have been spent.
-func (p *Purse) Settle(reserved, spent int64) {
+func (p *Allocation) Settle(reserved, spent int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reserved -= reserved
@@ -174,14 +174,14 @@
 // Exhausted reports whether a keeper has said that fewer than n tokens are unallocated and the
 // router itself holds fewer. If the router holds them but its limit does not allow them yet, the
 // total is not exhausted.
-func (p *Purse) Exhausted(n int64) bool {
+func (p *Allocation) Exhausted(n int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.answered && p.unallocated < n && p.headroom() < n
 }
 
 // RecordFailedSearch records that neither keepers nor other routers had n tokens.
-func (p *Purse) Dry(now time.Time, n int64) {
+func (p *Allocation) RecordFailedSearch(now time.Time, n int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Sub(p.failedSearchAt) > failedSearchTTL || n < p.failedSearchSize {
@@ -192,7 +192,7 @@
 
 // FailedSearchRecently reports whether a request for n tokens is expected to fail, because a
 // search for at most that many has just failed and the router itself holds fewer.
-func (p *Purse) IsDry(now time.Time, n int64) bool {
+func (p *Allocation) FailedSearchRecently(now time.Time, n int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Sub(p.failedSearchAt) < failedSearchTTL && n >= p.failedSearchSize && n > p.headroom()
@@ -201,7 +201,7 @@
 // ClaimDue reports whether a claim should be sent now: because a request waits, headroom or the
 // bound is running low, there is surplus to return, or more tokens are in use than the ceiling
 // that a keeper has confirmed.
-func (p *Purse) Due(now time.Time, floor int64, interval time.Duration) bool {
+func (p *Allocation) ClaimDue(now time.Time, floor int64, interval time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.answered && p.largestWaiting == 0 && floor <= 0 {
@@ -216,12 +216,12 @@
 
 // limitCoversUsed reports whether a keeper has answered the last claim and the used tokens are
 // within its ceiling.
-func (p *Purse) limitCoversUsed() bool {
+func (p *Allocation) limitCoversUsed() bool {
 	return p.answered && !p.claimUnanswered && p.used() <= p.limits[len(p.limits)-1].ceiling
 }
 
 // lastLimitAt returns when the newest limit was stated, or the zero time.
-func (p *Purse) lastLimitAt() time.Time {
+func (p *Allocation) lastLimitAt() time.Time {
 	if len(p.limits) == 0 {
 		return time.Time{}
 	}
@@ -232,7 +232,7 @@
 // ceiling from now on. Without that, the bound of a workspace without requests would rise as long
 // as its router runs, and all tokens that the router holds ahead of demand would count as spent
 // when it crashes.
-func (p *Purse) LeaveOut(now time.Time) bool {
+func (p *Allocation) OmitFromClaim(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.limitCoversUsed() {
@@ -248,7 +248,7 @@
 
 // OmissionAnswered records that a keeper answered a claim that omitted the workspace. The answer
 // says whether tokens are scarce, in which case idle routers return them.
-func (p *Purse) LeftOut(scarce bool) {
+func (p *Allocation) OmissionAnswered(scarce bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.scarce, p.claimUnanswered = scarce, false
@@ -256,7 +256,7 @@
 
 // surplus returns the headroom to return to the keepers, beyond the headroom that the router
 // needs. Tokens lent by others can't be returned, because the lender counts them as spent.
-func (p *Purse) surplus(need int64, rate float64, floor int64) int64 {
+func (p *Allocation) surplus(need int64, rate float64, floor int64) int64 {
 	maxKept := need
 	if !p.scarce {
 		maxKept = 3 * need
@@ -272,10 +272,10 @@
 }
 
 // used returns the tokens that the bound known to keepers must cover.
-func (p *Purse) used() int64 { return p.spent + p.reserved - p.received }
+func (p *Allocation) used() int64 { return p.spent + p.reserved - p.received }
 
 // allowedSurplus returns the surplus that a router with a floor may keep.
-func (p *Purse) allowedSurplus(floor int64) int64 {
+func (p *Allocation) allowedSurplus(floor int64) int64 {
 	switch {
 	case p.evenShare > 0:
 		return min(maxKeptSurplus, p.evenShare/shareSurplusDivisor)
@@ -286,7 +286,7 @@
 }
 
 // targetHeadroom returns the headroom that the router should hold at a demand rate.
-func (p *Purse) targetHeadroom(rate float64, floor int64) int64 {
+func (p *Allocation) targetHeadroom(rate float64, floor int64) int64 {
 	horizon, divisor := Horizon, int64(shareHeadroomDivisor)
 	if p.scarce {
 		horizon, floor, divisor = scarceHorizon, 0, scarceShareHeadroomDivisor
@@ -301,7 +301,7 @@
 // NextClaim returns a claim to send to a keeper, if the next claim follows after interval. The
 // router asks for at least floor tokens ahead of demand. Surplus headroom is taken out at once,
 // before the keeper receives the claim.
-func (p *Purse) Claim(now time.Time, workspace string, floor int64, interval time.Duration) *messenger.RightsClaim {
+func (p *Allocation) NextClaim(now time.Time, workspace string, floor int64, interval time.Duration) *messenger.RightsClaim {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	rate := p.demandRate(now)
@@ -315,12 +315,12 @@
 		Workspace: workspace, Returned: p.returned, Spent: max(p.spent-p.received, 0),
 		Wanted: max(need-headroom, 0), Urgent: max(p.largestWaiting-headroom, 0),
 		Ceiling: max(p.used(), 0) + p.waitingTotal + int64(boundRate*max(minCeilingTime, interval+ceilingMargin).Seconds()) + p.idlePart(idleCeiling),
-		Slope:   int64(boundRate*slopeFactor) + p.idlePart(idleSlope), RestMs: BoundRest.Milliseconds(),
+		Slope:   int64(boundRate*slopeFactor) + p.idlePart(idleSlope), RestMs: BoundRiseDelay.Milliseconds(),
 	}
 	if p.claimUnanswered && p.answered {
 		// This claim may reach a keeper only after a network partition, during which the router
 		// spends under its earlier limits.
-		c.Ceiling, c.Slope = max(c.Ceiling, p.allowedAt(now.Add(BoundRest))), max(c.Slope, p.maxSlope())
+		c.Ceiling, c.Slope = max(c.Ceiling, p.allowedAt(now.Add(BoundRiseDelay))), max(c.Slope, p.maxSlope())
 	}
 	p.largestWaiting, p.waitingTotal, p.claimUnanswered = 0, 0, true
 	p.addLimit(limit{ceiling: c.Ceiling, slope: c.Slope, statedAt: now})
@@ -328,14 +328,14 @@
 }
 
 // SetHolders sets the number of routers that hold tokens of the workspace.
-func (p *Purse) Among(routers int) {
+func (p *Allocation) SetHolders(routers int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holders, p.evenShare = int64(routers), 0
 }
 
 // SetPooledHolders sets the number of routers that share a pooled total of total tokens.
-func (p *Purse) Pool(holders int, total int64) {
+func (p *Allocation) SetPooledHolders(holders int, total int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holders, p.evenShare = int64(holders), max(total/int64(max(holders, 1)), 1)
@@ -344,7 +344,7 @@
 // Close returns the last claim of a process that shuts down. Requests may still be in progress, so
 // their reserved tokens count as spent. If they were returned, they could be granted to another
 // router while the last tokens of those requests are delivered.
-func (p *Purse) Close(workspace string) *messenger.RightsClaim {
+func (p *Allocation) Close(workspace string) *messenger.RightsClaim {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
@@ -352,7 +352,7 @@
 }
 
 // ApplyGrant records a keeper's answer to claim c, which was sent at sent.
-func (p *Purse) Granted(g *messenger.RightsGrant, c *messenger.RightsClaim, sent time.Time) {
+func (p *Allocation) ApplyGrant(g *messenger.RightsGrant, c *messenger.RightsClaim, sent time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	// No later claim was sent, because claims are sent one after the other.
@@ -362,11 +362,13 @@
 }
 
 // headroom returns the tokens that are held and neither spent nor reserved.
-func (p *Purse) headroom() int64 { return p.granted - p.returned + p.received - p.spent - p.reserved }
+func (p *Allocation) headroom() int64 {
+	return p.granted - p.returned + p.received - p.spent - p.reserved
+}
 
 // TakeAvailable removes all headroom that the limits allow to be used, to give it to another
 // router.
-func (p *Purse) Rest(now time.Time) int64 {
+func (p *Allocation) TakeAvailable(now time.Time) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := max(min(p.headroom(), p.remainingAllowed(now)), 0)
@@ -376,7 +378,7 @@
 
 // TakeIdle is TakeAvailable if at least minTokens are available and nothing is reserved. Otherwise
 // it takes nothing.
-func (p *Purse) RestAbove(now time.Time, minTokens int64) int64 {
+func (p *Allocation) TakeIdle(now time.Time, minTokens int64) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := min(p.headroom(), p.remainingAllowed(now))
@@ -389,7 +391,7 @@
 
 // Lend removes up to wanted tokens to lend them: at most half of the headroom, or what exceeds the
 // router's own demand of lendReserve if that is more. They count as spent here.
-func (p *Purse) Lend(now time.Time, wanted int64) int64 {
+func (p *Allocation) Lend(now time.Time, wanted int64) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	headroom := p.headroom()
@@ -403,7 +405,7 @@
 }
 
 // Receive adds tokens that another router lent.
-func (p *Purse) Receive(n int64) {
+func (p *Allocation) Receive(n int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.received += n
@@ -414,7 +416,7 @@
 // returns 0 until half of that demand's tokens are gone, because routers that are all partitioned
 // off would lend the same tokens back and forth. With onlyIfExhausted, it returns 0 unless a
 // request was refused that is larger than what keepers have left.
-func (p *Purse) Lack(now time.Time, onlyIfExhausted bool) int64 {
+func (p *Allocation) TokensToBorrow(now time.Time, onlyIfExhausted bool) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	largestRefused, need := p.largestSinceBorrowing, int64(p.demandRate(now)*lendHorizon.Seconds())
--- a/allotter/allotter_test.go
+++ b/allotter/allotter_test.go
@@ -17,20 +17,20 @@
 var sequence uint64
 
 // sendClaim settles an allocation with the ledger for a router that started at a given time.
-func sendClaim(l *allotter.Ledger, router string, incarnation uint64, p *allotter.Purse, now, started time.Time) *messenger.RightsGrants {
+func sendClaim(l *allotter.Ledger, router string, incarnation uint64, p *allotter.Allocation, now, started time.Time) *messenger.RightsGrants {
 	return sendClaimWithInterval(l, router, incarnation, p, now, started, 400*time.Millisecond)
 }
 
 // sendClaimWithInterval is sendClaim if the next claim follows after an interval.
-func sendClaimWithInterval(l *allotter.Ledger, router string, incarnation uint64, p *allotter.Purse, now, started time.Time, interval time.Duration) *messenger.RightsGrants {
-	c := p.Claim(now, workspace, 0, interval)
+func sendClaimWithInterval(l *allotter.Ledger, router string, incarnation uint64, p *allotter.Allocation, now, started time.Time, interval time.Duration) *messenger.RightsGrants {
+	c := p.NextClaim(now, workspace, 0, interval)
 	sequence++
-	g := l.Claim(&messenger.RightsChange{
+	g := l.ApplyClaims(&messenger.RightsChange{
 		Router: router, Incarnation: incarnation, Claims: []*messenger.RightsClaim{c}, Sequence: sequence, Answered: sequence - 1,
 		Sent: momentAt(now), Started: momentAt(started),
 	})
 	if !g.Ended {
-		p.Granted(g.Grants[0], c, now)
+		p.ApplyGrant(g.Grants[0], c, now)
 	}
 	return g
 }
@@ -48,12 +48,12 @@
 func TestLastClaimCountsRequestsInProgress(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
-	l, p := newLedger(100_000), &allotter.Purse{}
+	l, p := newLedger(100_000), &allotter.Allocation{}
 	g.Expect(p.Reserve(now, 60_000)).To(gomega.BeFalse())
 	sendClaim(l, "a", 1, p, now, now)
 	g.Expect(p.Reserve(now, 60_000)).To(gomega.BeTrue())
-	l.Claim(&messenger.RightsChange{Router: "a", Incarnation: 1, Closing: true, Sequence: sequence + 1, Claims: []*messenger.RightsClaim{p.Close(workspace)}})
-	g.Expect(l.Left(workspace)).To(gomega.Equal(int64(40_000)))
+	l.ApplyClaims(&messenger.RightsChange{Router: "a", Incarnation: 1, Closing: true, Sequence: sequence + 1, Claims: []*messenger.RightsClaim{p.Close(workspace)}})
+	g.Expect(l.Unallocated(workspace)).To(gomega.Equal(int64(40_000)))
 	g.Expect(p.Reserve(now, 1)).To(gomega.BeFalse(), "a closed allocation reserves nothing")
 }
 
@@ -63,13 +63,13 @@
 func TestDelayedClaimOfEndedProcessIsRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
-	l, p, q := newLedger(100_000), &allotter.Purse{}, &allotter.Purse{}
+	l, p, q := newLedger(100_000), &allotter.Allocation{}, &allotter.Allocation{}
 	p.Reserve(now, 50_000)
 	sendClaim(l, "a", 1, p, now, now)
-	left := l.Left(workspace)
+	left := l.Unallocated(workspace)
 	g.Expect(sendClaim(l, "a", 2, q, now, now).Ended).To(gomega.BeFalse())
 	g.Expect(sendClaim(l, "a", 1, p, now, now).Ended).To(gomega.BeTrue())
-	g.Expect(l.Left(workspace)).To(gomega.Equal(left))
+	g.Expect(l.Unallocated(workspace)).To(gomega.Equal(left))
 }
 
 // Six routers spend a total evenly and one of them stops. The tokens that it holds must be
@@ -79,9 +79,9 @@
 	const total, request = 1_000_000, 3_000
 	now := time.Unix(1000, 0)
 	l := newLedger(total)
-	var allocations []*allotter.Purse
+	var allocations []*allotter.Allocation
 	for range 6 {
-		allocations = append(allocations, &allotter.Purse{})
+		allocations = append(allocations, &allotter.Allocation{})
 	}
 	var spent int64
 	for second := range 200 {
@@ -121,7 +121,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			now := time.Unix(1000, 0)
-			l, p := newLedger(1_000_000), &allotter.Purse{}
+			l, p := newLedger(1_000_000), &allotter.Allocation{}
 			var spent int64
 			for range 40 {
 				now = now.Add(400 * time.Millisecond)
@@ -131,12 +131,12 @@
 				}
 				sendClaim(l, "a", 1, p, now, now)
 			}
-			held := 1_000_000 - l.Left(workspace) - spent
+			held := 1_000_000 - l.Unallocated(workspace) - spent
 			g.Expect(held).To(gomega.BeNumerically(">", 20_000), "tokens held ahead of demand")
 			restartedAt := now.Add(1500 * time.Millisecond)
-			q := &allotter.Purse{}
-			l.Claim(&messenger.RightsChange{Router: "a", Incarnation: 2, Sequence: 1, Sent: c.end(restartedAt), Started: c.end(restartedAt), Claims: []*messenger.RightsClaim{q.Claim(restartedAt, workspace, 0, 400*time.Millisecond)}})
-			lost := 1_000_000 - l.Left(workspace) - spent
+			q := &allotter.Allocation{}
+			l.ApplyClaims(&messenger.RightsChange{Router: "a", Incarnation: 2, Sequence: 1, Sent: c.end(restartedAt), Started: c.end(restartedAt), Claims: []*messenger.RightsClaim{q.NextClaim(restartedAt, workspace, 0, 400*time.Millisecond)}})
+			lost := 1_000_000 - l.Unallocated(workspace) - spent
 			g.Expect(lost).To(gomega.BeNumerically("<=", c.most))
 			if name == "clocks disagree" {
 				g.Expect(lost).To(gomega.Equal(held))
@@ -150,11 +150,11 @@
 func TestFailedSearchIsNotRepeatedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
-	p := &allotter.Purse{}
-	p.Dry(now, 5_000)
-	g.Expect(p.IsDry(now.Add(100*time.Millisecond), 6_000)).To(gomega.BeTrue())
-	g.Expect(p.IsDry(now.Add(100*time.Millisecond), 4_000)).To(gomega.BeFalse())
-	g.Expect(p.IsDry(now.Add(time.Second), 6_000)).To(gomega.BeFalse())
+	p := &allotter.Allocation{}
+	p.RecordFailedSearch(now, 5_000)
+	g.Expect(p.FailedSearchRecently(now.Add(100*time.Millisecond), 6_000)).To(gomega.BeTrue())
+	g.Expect(p.FailedSearchRecently(now.Add(100*time.Millisecond), 4_000)).To(gomega.BeFalse())
+	g.Expect(p.FailedSearchRecently(now.Add(time.Second), 6_000)).To(gomega.BeFalse())
 	p.Receive(10_000)
-	g.Expect(p.IsDry(now.Add(100*time.Millisecond), 6_000)).To(gomega.BeFalse())
+	g.Expect(p.FailedSearchRecently(now.Add(100*time.Millisecond), 6_000)).To(gomega.BeFalse())
 }
--- a/allotter/crash_fuzz_test.go
+++ b/allotter/crash_fuzz_test.go
@@ -20,7 +20,7 @@
 	rand          *rand.Rand
 	ledger        *allotter.Ledger
 	now           time.Time
-	allocations   map[string]*allotter.Purse
+	allocations   map[string]*allotter.Allocation
 	reservations  map[string][]int64
 	delayedClaims []*messenger.RightsChange
 	// Sequence counts claims. Answered is the sequence of the last one that was answered.
@@ -50,14 +50,14 @@
 		Router: "r", Incarnation: 1, Sequence: x.sequence, Answered: x.answered,
 		Sent: x.moment(x.now, true), Started: x.moment(x.started, true), Binding: true,
 	}
-	var claimed, leftOut []*allotter.Purse
+	var claimed, leftOut []*allotter.Allocation
 	for _, w := range x.workspaces() {
 		p := x.allocations[w]
-		if (!x.busy[w] || x.rand.IntN(2) == 0) && p.LeaveOut(x.now) {
+		if (!x.busy[w] || x.rand.IntN(2) == 0) && p.OmitFromClaim(x.now) {
 			leftOut = append(leftOut, p)
 			continue
 		}
-		c.Claims = append(c.Claims, p.Claim(x.now, w, 0, 250*time.Millisecond))
+		c.Claims = append(c.Claims, p.NextClaim(x.now, w, 0, 250*time.Millisecond))
 		claimed = append(claimed, p)
 	}
 	sent := x.now
@@ -70,16 +70,16 @@
 		x.delayedClaims = append(x.delayedClaims, c)
 		return
 	}
-	grants := x.ledger.Claim(proto.Clone(c).(*messenger.RightsChange))
+	grants := x.ledger.ApplyClaims(proto.Clone(c).(*messenger.RightsChange))
 	if outcome == 2 {
 		return
 	}
 	x.advance(700)
 	for i, p := range claimed {
-		p.Granted(grants.Grants[i], c.Claims[i], sent)
+		p.ApplyGrant(grants.Grants[i], c.Claims[i], sent)
 	}
 	for _, p := range leftOut {
-		p.LeftOut(x.rand.IntN(2) == 0)
+		p.OmissionAnswered(x.rand.IntN(2) == 0)
 	}
 	x.answered = c.Sequence
 }
@@ -117,12 +117,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		x := &simulatedRouter{
 			rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)), ledger: allotter.NewLedger(), now: time.Unix(1_000_000, 0),
-			allocations: map[string]*allotter.Purse{}, reservations: map[string][]int64{}, busy: map[string]bool{},
+			allocations: map[string]*allotter.Allocation{}, reservations: map[string][]int64{}, busy: map[string]bool{},
 		}
 		x.started = x.now
 		var totals []*messenger.PrepaidTotal
 		for _, w := range x.workspaces() {
-			x.allocations[w], x.busy[w] = &allotter.Purse{}, x.rand.IntN(2) == 0
+			x.allocations[w], x.busy[w] = &allotter.Allocation{}, x.rand.IntN(2) == 0
 			totals = append(totals, &messenger.PrepaidTotal{Workspace: w, Tokens: 10_000_000})
 		}
 		x.ledger.SetTotals(totals)
@@ -142,7 +142,7 @@
 		}
 	case 1:
 		if len(x.delayedClaims) > 0 {
-			x.ledger.Claim(x.delayedClaims[0])
+			x.ledger.ApplyClaims(x.delayedClaims[0])
 			x.delayedClaims = x.delayedClaims[1:]
 		}
 	default:
@@ -157,10 +157,10 @@
 	boot := x.rand.IntN(2) == 0
 	x.now = x.now.Add(time.Duration(x.rand.IntN(1500)) * time.Millisecond)
 	start := x.moment(x.now, boot)
-	x.ledger.Claim(&messenger.RightsChange{Router: "r", Incarnation: 2, Sequence: 1, Sent: start, Started: start})
+	x.ledger.ApplyClaims(&messenger.RightsChange{Router: "r", Incarnation: 2, Sequence: 1, Sent: start, Started: start})
 	for _, b := range x.ledger.Balances() {
-		if used := x.allocations[b.Workspace].Used(); b.Ended < used {
-			t.Fatalf("workspace %s: %s tokens used, %d counted", b.Workspace, strconv.FormatInt(used, 10), b.Ended)
+		if used := x.allocations[b.Workspace].Used(); b.SpentByEnded < used {
+			t.Fatalf("workspace %s: %s tokens used, %d counted", b.Workspace, strconv.FormatInt(used, 10), b.SpentByEnded)
 		}
 	}
 }
@@ -168,15 +168,15 @@
 // Guards against a router that keeps spending under an older bound after it has sent a claim with
 // a lower one. Keepers may have applied that claim, and count by its bound alone.
 func TestClaimLimitsRouterOnceSent(t *testing.T) {
-	for name, send := range map[string]func(*allotter.Purse, *messenger.RightsChange, time.Time){
-		"named": func(p *allotter.Purse, c *messenger.RightsChange, now time.Time) {
-			c.Claims = []*messenger.RightsClaim{p.Claim(now, workspace, 90_000, time.Second)}
+	for name, send := range map[string]func(*allotter.Allocation, *messenger.RightsChange, time.Time){
+		"named": func(p *allotter.Allocation, c *messenger.RightsChange, now time.Time) {
+			c.Claims = []*messenger.RightsClaim{p.NextClaim(now, workspace, 90_000, time.Second)}
 		},
-		"left out": func(p *allotter.Purse, _ *messenger.RightsChange, now time.Time) { p.LeaveOut(now) },
+		"left out": func(p *allotter.Allocation, _ *messenger.RightsChange, now time.Time) { p.OmitFromClaim(now) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			l, p := newLedger(100_000), &allotter.Purse{}
+			l, p := newLedger(100_000), &allotter.Allocation{}
 			change := func(answered uint64) *messenger.RightsChange {
 				sequence++
 				return &messenger.RightsChange{Router: "r", Incarnation: 1, Sequence: sequence, Answered: answered, Binding: true, Sent: momentAt(now), Started: momentAt(now)}
@@ -185,14 +185,14 @@
 			// The first answer says how much is unallocated, the second one grants tokens.
 			for range 2 {
 				first = change(0)
-				first.Claims = []*messenger.RightsClaim{p.Claim(now, workspace, 90_000, time.Second)}
-				p.Granted(l.Claim(first).Grants[0], first.Claims[0], now)
+				first.Claims = []*messenger.RightsClaim{p.NextClaim(now, workspace, 90_000, time.Second)}
+				p.ApplyGrant(l.ApplyClaims(first).Grants[0], first.Claims[0], now)
 			}
 			// After a long partition, the first bound allows all tokens that the router holds.
 			now = now.Add(time.Minute)
 			second := change(first.Sequence)
 			send(p, second, now)
-			l.Claim(second)
+			l.ApplyClaims(second)
 			now = now.Add(100 * time.Millisecond)
 			if p.Reserve(now, 40_000) {
 				t.Error("reserved under the previous bound")
@@ -201,9 +201,9 @@
 				p.Settle(900, 900)
 			}
 			end := momentAt(now.Add(time.Second))
-			l.Claim(&messenger.RightsChange{Router: "r", Incarnation: 2, Sequence: 1, Sent: end, Started: end})
-			if b := l.Balances()[0]; b.Ended < p.Used() || b.Ended > 10_000 {
-				t.Errorf("%d used, %d counted", p.Used(), b.Ended)
+			l.ApplyClaims(&messenger.RightsChange{Router: "r", Incarnation: 2, Sequence: 1, Sent: end, Started: end})
+			if b := l.Balances()[0]; b.SpentByEnded < p.Used() || b.SpentByEnded > 10_000 {
+				t.Errorf("%d used, %d counted", p.Used(), b.SpentByEnded)
 			}
 		})
 	}
--- a/allotter/demand.go
+++ b/allotter/demand.go
@@ -6,7 +6,7 @@
 )
 
 // recordDemand adds a request for n tokens to the demand.
-func (p *Purse) recordDemand(now time.Time, n int64) {
+func (p *Allocation) recordDemand(now time.Time, n int64) {
 	if p.demandRate(now) < 1 {
 		p.demandSince = now
 	}
@@ -16,7 +16,7 @@
 // demandRate returns the demand in tokens per second. The average over demandWindow alone would
 // take that long to reflect new demand. Dividing by the part of the window that has elapsed since
 // the demand began reflects it after minDemandTime.
-func (p *Purse) demandRate(now time.Time) float64 {
+func (p *Allocation) demandRate(now time.Time) float64 {
 	if elapsed := now.Sub(p.meanDemandAt); elapsed > 0 {
 		p.meanDemand *= math.Exp(-elapsed.Seconds() / demandWindow.Seconds())
 		p.meanDemandAt = now
@@ -25,7 +25,7 @@
 }
 
 // demandRateOver returns the demand rate, assuming that demand began at least minTime ago.
-func (p *Purse) demandRateOver(now time.Time, minTime time.Duration) float64 {
+func (p *Allocation) demandRateOver(now time.Time, minTime time.Duration) float64 {
 	elapsed := max(now.Sub(p.demandSince), minTime)
 	return p.meanDemand / (1 - math.Exp(-elapsed.Seconds()/demandWindow.Seconds()))
 }
--- a/allotter/demand_test.go
+++ b/allotter/demand_test.go
@@ -13,7 +13,7 @@
 
 // runRequests sends requests of 3,000 tokens to one router at a given rate for a period, and
 // returns the number that was refused.
-func runRequests(p *allotter.Purse, now time.Time, perSecond int, pause time.Duration) (refused int) {
+func runRequests(p *allotter.Allocation, now time.Time, perSecond int, pause time.Duration) (refused int) {
 	const request = 3_000
 	n := int(float64(perSecond) * pause.Seconds())
 	for i := range n {
@@ -37,11 +37,11 @@
 	const pause = 1300 * time.Millisecond
 	now := time.Unix(1000, 0)
 	l := newLedger(6_000_000)
-	idle := map[string]*allotter.Purse{}
+	idle := map[string]*allotter.Allocation{}
 	for i := range 62 {
-		idle["idle"+strconv.Itoa(i)] = &allotter.Purse{}
+		idle["idle"+strconv.Itoa(i)] = &allotter.Allocation{}
 	}
-	hot := &allotter.Purse{}
+	hot := &allotter.Allocation{}
 	refused := 0
 	for round := range 8 {
 		n := runRequests(hot, now, 20, pause)
@@ -66,20 +66,20 @@
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	l := newLedger(1_000_000)
-	var others []*allotter.Purse
+	var others []*allotter.Allocation
 	for i := range 5 {
-		p := &allotter.Purse{}
+		p := &allotter.Allocation{}
 		runRequests(p, now, 4, time.Second)
 		sendClaim(l, "other"+strconv.Itoa(i), 1, p, now, now)
 		others = append(others, p)
 	}
-	before := l.Left(workspace)
+	before := l.Unallocated(workspace)
 	greedy := &messenger.RightsClaim{Workspace: workspace, Wanted: 10_000_000, Slope: 1_000_000}
 	for range 3 {
-		l.Claim(&messenger.RightsChange{Router: "greedy", Incarnation: 3, Sequence: sequence, Sent: momentAt(now), Started: momentAt(now), Claims: []*messenger.RightsClaim{greedy}})
+		l.ApplyClaims(&messenger.RightsChange{Router: "greedy", Incarnation: 3, Sequence: sequence, Sent: momentAt(now), Started: momentAt(now), Claims: []*messenger.RightsClaim{greedy}})
 		sequence++
 	}
-	g.Expect(l.Left(workspace)).To(gomega.BeNumerically(">=", before/8), "left after three greedy claims")
+	g.Expect(l.Unallocated(workspace)).To(gomega.BeNumerically(">=", before/8), "left after three greedy claims")
 	for i, p := range others {
 		runRequests(p, now, 4, time.Second)
 		sendClaim(l, "other"+strconv.Itoa(i), 1, p, now, now)
@@ -95,9 +95,9 @@
 	const total, request, pause = 3_000_000, 3_000, 1300 * time.Millisecond
 	now := time.Unix(1000, 0)
 	l := newLedger(total)
-	var allocations []*allotter.Purse
+	var allocations []*allotter.Allocation
 	for range 63 {
-		allocations = append(allocations, &allotter.Purse{})
+		allocations = append(allocations, &allotter.Allocation{})
 	}
 	var spent int64
 	for round := range 100 {
@@ -116,13 +116,13 @@
 					spent += request
 				}
 			}
-			c := p.Claim(now, workspace, total/8/63, pause)
+			c := p.NextClaim(now, workspace, total/8/63, pause)
 			sequence++
-			grants := l.Claim(&messenger.RightsChange{
+			grants := l.ApplyClaims(&messenger.RightsChange{
 				Router: strconv.Itoa(i), Incarnation: 7, Claims: []*messenger.RightsClaim{c}, Sequence: sequence,
 				Answered: sequence - 1, Sent: momentAt(now), Started: momentAt(now),
 			})
-			p.Granted(grants.Grants[0], c, now)
+			p.ApplyGrant(grants.Grants[0], c, now)
 		}
 	}
 	g.Expect(spent).To(gomega.BeNumerically(">=", total*95/100), "spent of the total")
@@ -136,11 +136,11 @@
 	g := gomega.NewWithT(t)
 	const pause = 1300 * time.Millisecond
 	now := time.Unix(1000, 0)
-	l, p := newLedger(100_000_000), &allotter.Purse{}
+	l, p := newLedger(100_000_000), &allotter.Allocation{}
 	runRequests(p, now, 20, pause)
 	now = now.Add(pause)
 	sendClaimWithInterval(l, "hot", 1, p, now, now, pause)
-	g.Expect(100_000_000-l.Left(workspace)).To(gomega.BeNumerically(">=", 10*20*3_000), "held after the first claim, 10 s of demand")
+	g.Expect(100_000_000-l.Unallocated(workspace)).To(gomega.BeNumerically(">=", 10*20*3_000), "held after the first claim, 10 s of demand")
 }
 
 // A large caller comes to a router that it has not used before, with ten requests in 0.7 s. Tokens
@@ -151,13 +151,13 @@
 	g := gomega.NewWithT(t)
 	const request, each = 10_000, 70 * time.Millisecond
 	now := time.Unix(1000, 0)
-	p := &allotter.Purse{}
+	p := &allotter.Allocation{}
 	p.Receive(1_000_000)
 	for range 10 {
 		now = now.Add(each)
 		p.Reserve(now, request)
 	}
-	c := p.Claim(now, workspace, 0, 250*time.Millisecond)
+	c := p.NextClaim(now, workspace, 0, 250*time.Millisecond)
 	demand := request / each.Seconds()
 	g.Expect(float64(c.Ceiling)).To(gomega.BeNumerically("<", 0.6*1.5*demand))
 	g.Expect(float64(c.Wanted+900_000)).To(gomega.BeNumerically(">", 10*demand), "it still holds tokens for a partition")
@@ -172,7 +172,7 @@
 	g := gomega.NewWithT(t)
 	const request = 10_000
 	now := time.Unix(1000, 0)
-	l, p := newLedger(600_000), &allotter.Purse{}
+	l, p := newLedger(600_000), &allotter.Allocation{}
 	for range 20 {
 		runRequests(p, now, 2, time.Second)
 		now = now.Add(250 * time.Millisecond)
@@ -188,7 +188,7 @@
 	for range 3 {
 		sendClaim(l, "a", 1, p, now, now)
 		for range waiting {
-			if p.Retry(now, request) {
+			if p.RetryReserve(now, request) {
 				waiting--
 			}
 		}
@@ -202,16 +202,16 @@
 func TestHeldTokensAreNotExhausted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
-	l, p := newLedger(50_000), &allotter.Purse{}
+	l, p := newLedger(50_000), &allotter.Allocation{}
 	p.Reserve(now, 40_000)
 	sendClaim(l, "a", 1, p, now, now)
-	g.Expect(p.Retry(now, 40_000)).To(gomega.BeTrue())
+	g.Expect(p.RetryReserve(now, 40_000)).To(gomega.BeTrue())
 	p.Settle(40_000, 0)
 	for range 8 {
 		now = now.Add(time.Second)
 		sendClaim(l, "a", 1, p, now, now)
 	}
-	g.Expect(l.Left(workspace)).To(gomega.BeNumerically("<", 30_000))
+	g.Expect(l.Unallocated(workspace)).To(gomega.BeNumerically("<", 30_000))
 	g.Expect(p.Reserve(now, 30_000)).To(gomega.BeFalse(), "above the limit")
 	g.Expect(p.Exhausted(30_000)).To(gomega.BeFalse())
 }
@@ -224,26 +224,26 @@
 	const total, request, routers, pause = 1_700_000, 3_000, 9, 250 * time.Millisecond
 	now := time.Unix(1000, 0)
 	l := newLedger(total)
-	allocations := map[string]*allotter.Purse{}
+	allocations := map[string]*allotter.Allocation{}
 	for i := range routers {
-		allocations["r"+strconv.Itoa(i)] = &allotter.Purse{}
+		allocations["r"+strconv.Itoa(i)] = &allotter.Allocation{}
 	}
 	hot := allocations["r0"]
 	sequences := map[string]uint64{}
-	settle := func(name string, p *allotter.Purse) {
+	settle := func(name string, p *allotter.Allocation) {
 		change := &messenger.RightsChange{
 			Router: name, Incarnation: 1, Sequence: sequences[name] + 1, Answered: sequences[name], Sent: momentAt(now), Started: momentAt(now),
 		}
 		sequences[name]++
 		change.Binding = true
-		if p.Due(now, total/8/routers, pause) || !p.LeaveOut(now) {
-			change.Claims = append(change.Claims, p.Claim(now, workspace, total/8/routers, pause))
+		if p.ClaimDue(now, total/8/routers, pause) || !p.OmitFromClaim(now) {
+			change.Claims = append(change.Claims, p.NextClaim(now, workspace, total/8/routers, pause))
 		}
-		grants := l.Claim(change)
+		grants := l.ApplyClaims(change)
 		if len(change.Claims) > 0 {
-			p.Granted(grants.Grants[0], change.Claims[0], now)
+			p.ApplyGrant(grants.Grants[0], change.Claims[0], now)
 		} else {
-			p.LeftOut(len(grants.Scarce) > 0)
+			p.OmissionAnswered(len(grants.Scarce) > 0)
 		}
 	}
 	var spent int64
--- a/allotter/fuzz_test.go
+++ b/allotter/fuzz_test.go
@@ -23,7 +23,7 @@
 type routerProcess struct {
 	name        string
 	incarnation uint64
-	allocation  *allotter.Purse
+	allocation  *allotter.Allocation
 	// Requests holds reservations with the tokens delivered so far.
 	requests       []openRequest
 	claimsInFlight []*messenger.RightsChange
@@ -69,7 +69,7 @@
 		// The VM lost power, so its clock since boot starts again.
 		m.bootAt = w.now.Add(-time.Duration(w.rand.IntN(1_000_000)) * time.Second)
 	}
-	m.incarnation, m.allocation, m.requests, m.running = w.nextIncarnation, &allotter.Purse{}, nil, true
+	m.incarnation, m.allocation, m.requests, m.running = w.nextIncarnation, &allotter.Allocation{}, nil, true
 	m.sequence, m.answered, m.sentAt = 0, 0, nil
 	m.started, m.startedAt = w.moment(m), w.now
 }
@@ -92,8 +92,8 @@
 	}
 	c.Started.AgeMs = w.now.Sub(m.startedAt).Milliseconds()
 	c.Binding = true
-	if w.rand.IntN(3) > 0 || !m.allocation.LeaveOut(w.now) {
-		c.Claims = append(c.Claims, m.allocation.Claim(w.now, workspace, 0, 400*time.Millisecond))
+	if w.rand.IntN(3) > 0 || !m.allocation.OmitFromClaim(w.now) {
+		c.Claims = append(c.Claims, m.allocation.NextClaim(w.now, workspace, 0, 400*time.Millisecond))
 	}
 	m.sentAt = append(m.sentAt, w.now)
 	m.claimsInFlight = append(m.claimsInFlight, c)
@@ -117,9 +117,9 @@
 		return
 	}
 	if len(c.Claims) > 0 {
-		m.allocation.Granted(grants.Grants[0], c.Claims[0], m.sentAt[c.Sequence-1])
+		m.allocation.ApplyGrant(grants.Grants[0], c.Claims[0], m.sentAt[c.Sequence-1])
 	} else {
-		m.allocation.LeftOut(w.coinFlip())
+		m.allocation.OmissionAnswered(w.coinFlip())
 	}
 	m.answered = c.Sequence
 }
@@ -229,7 +229,7 @@
 
 // apply applies a committed claim to both ledgers.
 func (w *simulation) apply(c *messenger.RightsChange) *messenger.RightsGrants {
-	a, b := w.ledger.Claim(c), w.replica.Claim(proto.Clone(c).(*messenger.RightsChange))
+	a, b := w.ledger.ApplyClaims(c), w.replica.ApplyClaims(proto.Clone(c).(*messenger.RightsChange))
 	if w.divergence == "" && !proto.Equal(a, b) {
 		w.divergence = "answers differ: " + a.String() + " and " + b.String()
 	}
--- a/allotter/ledger.go
+++ b/allotter/ledger.go
@@ -102,7 +102,7 @@
 }
 
 // Unallocated returns the tokens of a workspace that no router holds or has spent.
-func (l *Ledger) Left(workspace string) int64 {
+func (l *Ledger) Unallocated(workspace string) int64 {
 	return max(l.totals[workspace]-l.consumed[workspace]-l.held[workspace], 0)
 }
 
@@ -112,7 +112,7 @@
 	// Total is the prepaid total. Unallocated is held by no router, Held is held by running
 	// routers or was reported as spent by them, and SpentByEnded is what ended incarnations spent
 	// or may have spent.
-	Total, Left, Held, Ended int64
+	Total, Unallocated, Held, SpentByEnded int64
 	// Spent is the part of Held that was reported as spent.
 	Spent int64
 	// Scarce reports whether routers return tokens that they do not need.
@@ -124,7 +124,7 @@
 	var out []Balance
 	for _, w := range slices.Sorted(maps.Keys(l.totals)) {
 		out = append(out, Balance{
-			Workspace: w, Total: l.totals[w], Left: l.Left(w), Held: l.held[w], Ended: l.consumed[w], Spent: l.spent[w], Scarce: l.isScarce(w),
+			Workspace: w, Total: l.totals[w], Unallocated: l.Unallocated(w), Held: l.held[w], SpentByEnded: l.consumed[w], Spent: l.spent[w], Scarce: l.isScarce(w),
 		})
 	}
 	return out
@@ -136,7 +136,7 @@
 }
 
 // TotalPrepaid returns the sum of all totals.
-func (l *Ledger) Prepaid() int64 {
+func (l *Ledger) TotalPrepaid() int64 {
 	var sum int64
 	for _, n := range l.totals {
 		sum += n
@@ -146,7 +146,7 @@
 
 // ApplyClaims records a router's claims and returns the grants. If the router was restarted, its
 // previous incarnation is ended first. Claims of an ended incarnation are refused.
-func (l *Ledger) Claim(c *messenger.RightsChange) *messenger.RightsGrants {
+func (l *Ledger) ApplyClaims(c *messenger.RightsChange) *messenger.RightsGrants {
 	out := &messenger.RightsGrants{}
 	h := l.currentHolder(c, out)
 	if h == nil {
@@ -315,14 +315,14 @@
 	}
 	l.updateScarce(c.Workspace)
 	return &messenger.RightsGrant{
-		Workspace: c.Workspace, Granted: a.granted, Left: l.Left(c.Workspace), Scarce: l.isScarce(c.Workspace),
+		Workspace: c.Workspace, Granted: a.granted, Left: l.Unallocated(c.Workspace), Scarce: l.isScarce(c.Workspace),
 	}
 }
 
 // isScarce reports whether routers must not hold tokens far ahead of demand.
 func (l *Ledger) isScarce(workspace string) bool {
 	total := l.totals[workspace]
-	return l.Left(workspace) < total/unallocatedDivisor || l.unspent(workspace) < total/unspentDivisor
+	return l.Unallocated(workspace) < total/unallocatedDivisor || l.unspent(workspace) < total/unspentDivisor
 }
 
 // grantAmount returns the tokens to grant for a claim: what the router wants, up to a share of the
@@ -330,7 +330,7 @@
 // waiting request if that many are unallocated. Grants follow demand because callers are
 // distributed by a hash, so one router can have most of a workspace's demand.
 func (l *Ledger) grantAmount(c *messenger.RightsClaim) int64 {
-	left := l.Left(c.Workspace)
+	left := l.Unallocated(c.Workspace)
 	maxShare := left / int64(poolDivisor*max(len(l.holders), 1))
 	if totalSlope := l.slopes[c.Workspace]; totalSlope > 0 {
 		maxShare = max(maxShare, int64(float64(left)/poolDivisor*float64(c.Slope)/float64(totalSlope)))
--- a/allotter/limits.go
+++ b/allotter/limits.go
@@ -17,7 +17,7 @@
 
 // addLimit adds a limit. If there are too many, it merges the oldest two into one that is at least
 // as strict as both.
-func (p *Purse) addLimit(l limit) {
+func (p *Allocation) addLimit(l limit) {
 	p.limits = append(p.limits, l)
 	if len(p.limits) <= maxLimits {
 		return
@@ -31,19 +31,19 @@
 }
 
 // allowedAt returns the most tokens that may be used until a time under all limits.
-func (p *Purse) allowedAt(at time.Time) int64 {
+func (p *Allocation) allowedAt(at time.Time) int64 {
 	if !p.answered {
 		return 0
 	}
 	most := int64(math.MaxInt64)
 	for _, l := range p.limits {
-		most = min(most, spendingBound(l.ceiling, l.slope, BoundRest, at.Sub(l.statedAt)))
+		most = min(most, spendingBound(l.ceiling, l.slope, BoundRiseDelay, at.Sub(l.statedAt)))
 	}
 	return most
 }
 
 // maxSlope returns the highest slope of the limits.
-func (p *Purse) maxSlope() int64 {
+func (p *Allocation) maxSlope() int64 {
 	var most int64
 	for _, l := range p.limits {
 		most = max(most, l.slope)
@@ -53,12 +53,12 @@
 
 // idlePart returns this router's part of idleCeiling or idleSlope, which more than idleHolders
 // routers divide among themselves.
-func (p *Purse) idlePart(amount int64) int64 {
+func (p *Allocation) idlePart(amount int64) int64 {
 	return amount * idleHolders / max(p.holders, idleHolders)
 }
 
 // remainingAllowed returns the tokens that the limits still allow to be reserved.
-func (p *Purse) remainingAllowed(now time.Time) int64 { return p.allowedAt(now) - p.used() }
+func (p *Allocation) remainingAllowed(now time.Time) int64 { return p.allowedAt(now) - p.used() }
 
 // spendingBound returns the most tokens that a router may have spent, a given time after it sent
 // the claim.
@@ -76,7 +76,7 @@
 
 // TimeUntilAllowed returns how long it takes until the limits allow a request of n tokens. It
 // returns false if the router does not hold that many, or if the limits will never allow them.
-func (p *Purse) Until(now time.Time, n int64) (time.Duration, bool) {
+func (p *Allocation) TimeUntilAllowed(now time.Time, n int64) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || n > p.headroom() || !p.answered {
@@ -90,7 +90,7 @@
 		}
 		if shortfall > 0 {
 			riseTime := time.Duration(float64(shortfall) / float64(l.slope) * float64(time.Second))
-			out = max(out, l.statedAt.Add(BoundRest+riseTime).Sub(now))
+			out = max(out, l.statedAt.Add(BoundRiseDelay+riseTime).Sub(now))
 		}
 	}
 	return out, true
--- a/allotter/pooled_test.go
+++ b/allotter/pooled_test.go
@@ -15,11 +15,11 @@
 // pooledZone is the routers of one availability zone, one of which owns the zone's tokens.
 type pooledZone struct {
 	name               string
-	owner              *allotter.Purse
+	owner              *allotter.Allocation
 	incarnation        uint64
 	sequence, answered uint64
 	started            time.Time
-	borrowers          []*allotter.Purse
+	borrowers          []*allotter.Allocation
 	// Reservations holds the tokens reserved for each borrower's running requests.
 	reservations [][]int64
 }
@@ -41,7 +41,7 @@
 // sendClaim settles the owner's allocation with the keepers. If the answer is lost, the allocation
 // stays as it was.
 func (w *pooledSimulation) claim(z *pooledZone) {
-	c := z.owner.Claim(w.now, workspace, 0, 400*time.Millisecond)
+	c := z.owner.NextClaim(w.now, workspace, 0, 400*time.Millisecond)
 	z.sequence++
 	change := &messenger.RightsChange{
 		Router: z.name, Incarnation: z.incarnation, Claims: []*messenger.RightsClaim{c}, Sequence: z.sequence, Answered: z.answered,
@@ -50,25 +50,25 @@
 	if w.messageLost() {
 		return
 	}
-	g := w.ledger.Claim(change)
+	g := w.ledger.ApplyClaims(change)
 	if w.messageLost() || g.Ended {
 		return
 	}
 	z.answered = z.sequence
-	z.owner.Granted(g.Grants[0], c, w.now)
+	z.owner.ApplyGrant(g.Grants[0], c, w.now)
 }
 
 // request starts a request of n tokens at a borrower and reports whether it was admitted.
 func (w *pooledSimulation) request(z *pooledZone, i int, n int64) bool {
 	b := z.borrowers[i]
-	if b.TakeHeld(w.now, n) {
+	if b.TryReserve(w.now, n) {
 		z.reservations[i] = append(z.reservations[i], n)
 		return true
 	}
 	got := z.owner.Reserve(w.now, n)
 	if !got {
 		w.claim(z)
-		got = z.owner.Retry(w.now, n)
+		got = z.owner.RetryReserve(w.now, n)
 	}
 	if !got {
 		return false
@@ -78,7 +78,7 @@
 		// The owner's answer was lost, so the tokens count as spent.
 		return false
 	}
-	b.Borrow(n)
+	b.ReceiveReserved(n)
 	z.reservations[i] = append(z.reservations[i], n)
 	return true
 }
@@ -91,7 +91,7 @@
 		z.borrowers[i].Settle(n, spent)
 	}
 	z.reservations[i] = nil
-	if n := z.borrowers[i].RestAbove(w.now, 500); n > 0 && !w.messageLost() {
+	if n := z.borrowers[i].TakeIdle(w.now, 500); n > 0 && !w.messageLost() {
 		z.owner.Receive(n)
 	}
 }
@@ -102,11 +102,11 @@
 		for _, n := range z.reservations[i] {
 			w.delivered += w.rand.Int64N(n + 1)
 		}
-		z.borrowers[i], z.reservations[i] = &allotter.Purse{}, nil
+		z.borrowers[i], z.reservations[i] = &allotter.Allocation{}, nil
 		return
 	}
 	w.nextIncarnation++
-	z.owner, z.incarnation, z.sequence, z.answered, z.started = &allotter.Purse{}, w.nextIncarnation, 0, 0, w.now
+	z.owner, z.incarnation, z.sequence, z.answered, z.started = &allotter.Allocation{}, w.nextIncarnation, 0, 0, w.now
 }
 
 // Guards against spending more than a total. In each of three zones, 40 routers borrow tokens for
@@ -119,9 +119,9 @@
 		w := &pooledSimulation{t: t, rand: rand.New(rand.NewPCG(seed, 1)), ledger: newLedger(total), now: time.Unix(1000, 0)}
 		for i := range 3 {
 			w.nextIncarnation++
-			z := &pooledZone{name: fmt.Sprint("owner", i), owner: &allotter.Purse{}, incarnation: w.nextIncarnation, started: w.now}
+			z := &pooledZone{name: fmt.Sprint("owner", i), owner: &allotter.Allocation{}, incarnation: w.nextIncarnation, started: w.now}
 			for range 40 {
-				z.borrowers, z.reservations = append(z.borrowers, &allotter.Purse{}), append(z.reservations, nil)
+				z.borrowers, z.reservations = append(z.borrowers, &allotter.Allocation{}), append(z.reservations, nil)
 			}
 			w.zones = append(w.zones, z)
 		}
@@ -154,9 +154,9 @@
 	const routers, perSecond, seconds, mean = 197, 0.125, 25, 8_000
 	w := &pooledSimulation{t: t, rand: rand.New(rand.NewPCG(1, 1)), now: time.Unix(1000, 0), reliable: true}
 	w.ledger = newLedger(int64(float64(routers) * perSecond * seconds * mean * 13 / 10))
-	z := &pooledZone{name: "owner", owner: &allotter.Purse{}, incarnation: 1, started: w.now}
+	z := &pooledZone{name: "owner", owner: &allotter.Allocation{}, incarnation: 1, started: w.now}
 	for range routers {
-		z.borrowers, z.reservations = append(z.borrowers, &allotter.Purse{}), append(z.reservations, nil)
+		z.borrowers, z.reservations = append(z.borrowers, &allotter.Allocation{}), append(z.reservations, nil)
 	}
 	sent, refused := 0, 0
 	const step = 10 * time.Millisecond
@@ -193,9 +193,9 @@
 		total := int64(float64(zones) * perSecond * seconds * mean * 13 / 10)
 		w.ledger = newLedger(total)
 		for i := range zones {
-			z := &pooledZone{name: fmt.Sprint("owner", i), owner: &allotter.Purse{}, incarnation: uint64(i + 1), started: w.now}
-			z.owner.Pool(zones, total)
-			z.borrowers, z.reservations = []*allotter.Purse{{}}, [][]int64{nil}
+			z := &pooledZone{name: fmt.Sprint("owner", i), owner: &allotter.Allocation{}, incarnation: uint64(i + 1), started: w.now}
+			z.owner.SetPooledHolders(zones, total)
+			z.borrowers, z.reservations = []*allotter.Allocation{{}}, [][]int64{nil}
 			w.zones = append(w.zones, z)
 		}
 		spent := int64(0)
--- a/allotter/power_loss_test.go
+++ b/allotter/power_loss_test.go
@@ -16,7 +16,7 @@
 type simulatedFleet struct {
 	ledger      *allotter.Ledger
 	workspaces  []string
-	allocations []map[string]*allotter.Purse
+	allocations []map[string]*allotter.Allocation
 	floor       int64
 	interval    time.Duration
 	answered    []uint64
@@ -32,10 +32,10 @@
 	}
 	f.ledger.SetTotals(totals)
 	for range routers {
-		allocations := map[string]*allotter.Purse{}
+		allocations := map[string]*allotter.Allocation{}
 		for _, w := range f.workspaces {
-			allocations[w] = &allotter.Purse{}
-			allocations[w].Among(routers)
+			allocations[w] = &allotter.Allocation{}
+			allocations[w].SetHolders(routers)
 		}
 		f.allocations = append(f.allocations, allocations)
 	}
@@ -48,22 +48,22 @@
 	c := &messenger.RightsChange{
 		Router: fmt.Sprint(router), Incarnation: 1, Sequence: sequence, Answered: f.answered[router], Binding: true, Sent: momentAt(now), Started: momentAt(now),
 	}
-	var claimed, leftOut []*allotter.Purse
+	var claimed, leftOut []*allotter.Allocation
 	for _, w := range f.workspaces {
 		p := f.allocations[router][w]
-		if !p.Due(now, f.floor, f.interval) && p.LeaveOut(now) {
+		if !p.ClaimDue(now, f.floor, f.interval) && p.OmitFromClaim(now) {
 			leftOut = append(leftOut, p)
 			continue
 		}
 		claimed = append(claimed, p)
-		c.Claims = append(c.Claims, p.Claim(now, w, f.floor, f.interval))
+		c.Claims = append(c.Claims, p.NextClaim(now, w, f.floor, f.interval))
 	}
-	grants := f.ledger.Claim(c)
+	grants := f.ledger.ApplyClaims(c)
 	for i, p := range claimed {
-		p.Granted(grants.Grants[i], c.Claims[i], now)
+		p.ApplyGrant(grants.Grants[i], c.Claims[i], now)
 	}
 	for _, p := range leftOut {
-		p.LeftOut(false)
+		p.OmissionAnswered(false)
 	}
 	f.answered[router] = sequence
 }
@@ -73,7 +73,7 @@
 func (f *simulatedFleet) losePower(restartedAt time.Time) (writtenOff int64) {
 	for i, allocations := range f.allocations {
 		sequence++
-		out := f.ledger.Claim(&messenger.RightsChange{
+		out := f.ledger.ApplyClaims(&messenger.RightsChange{
 			Router: fmt.Sprint(i), Incarnation: 2, Sequence: sequence, Sent: momentAt(restartedAt), Started: momentAt(restartedAt),
 		})
 		_ = out
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, b := range f.ledger.Balances() {
-		writtenOff += b.Ended
+		writtenOff += b.SpentByEnded
 	}
 	return writtenOff
 }
@@ -119,7 +119,7 @@
 					p := f.allocations[i][serves[i][r.IntN(callers)]]
 					if !p.Reserve(now, n) {
 						f.sendClaim(i, now)
-						if !p.Retry(now, n) {
+						if !p.RetryReserve(now, n) {
 							continue
 						}
 					}
--- a/allotter/sparse_demand_test.go
+++ b/allotter/sparse_demand_test.go
@@ -24,19 +24,19 @@
 	r := rand.New(rand.NewPCG(1, 1))
 	l := newLedger(int64(total))
 	start := time.Unix(1000, 0)
-	allocations := make([]*allotter.Purse, routers)
+	allocations := make([]*allotter.Allocation, routers)
 	claimed := make([]time.Time, routers)
 	for i := range allocations {
-		allocations[i], claimed[i] = &allotter.Purse{}, start.Add(-time.Duration(i)*pause/routers)
+		allocations[i], claimed[i] = &allotter.Allocation{}, start.Add(-time.Duration(i)*pause/routers)
 	}
 	claim := func(i int, now time.Time) {
-		c := allocations[i].Claim(now, workspace, floor, pause)
+		c := allocations[i].NextClaim(now, workspace, floor, pause)
 		sequence++
-		grants := l.Claim(&messenger.RightsChange{
+		grants := l.ApplyClaims(&messenger.RightsChange{
 			Router: strconv.Itoa(i), Incarnation: 9, Claims: []*messenger.RightsClaim{c}, Sequence: sequence,
 			Answered: sequence - 1, Sent: momentAt(now), Started: momentAt(now),
 		})
-		allocations[i].Granted(grants.Grants[0], c, now)
+		allocations[i].ApplyGrant(grants.Grants[0], c, now)
 		claimed[i] = now
 	}
 	var sent, refused int
@@ -44,7 +44,7 @@
 	for at := time.Duration(0); at < seconds*time.Second; at += step {
 		now := start.Add(at)
 		for i, p := range allocations {
-			if now.Sub(claimed[i]) > pause && p.Due(now, floor, pause) {
+			if now.Sub(claimed[i]) > pause && p.ClaimDue(now, floor, pause) {
 				claim(i, now)
 			}
 			if r.Float64() > perSecond*step.Seconds() {
@@ -55,7 +55,7 @@
 			got := p.Reserve(now, n)
 			if !got {
 				claim(i, now)
-				got = p.Retry(now, n)
+				got = p.RetryReserve(now, n)
 			}
 			if got {
 				p.Settle(n, n)
@@ -65,7 +65,7 @@
 		}
 		if at%(5*time.Second) == 0 {
 			b := l.Balances()[0]
-			t.Logf("%v: left %d%%, held %d%%, spent %d%%", at, 100*b.Left/b.Total, 100*(b.Held-b.Spent)/b.Total, 100*b.Spent/b.Total)
+			t.Logf("%v: left %d%%, held %d%%, spent %d%%", at, 100*b.Unallocated/b.Total, 100*(b.Held-b.Spent)/b.Total, 100*b.Spent/b.Total)
 		}
 	}
 	g.Expect(refused*100).To(gomega.BeNumerically("<=", sent), "refused of %d", sent)
@@ -80,19 +80,19 @@
 	const total, floor, pause = int64(5_000_000), int64(8_000), 1600 * time.Millisecond
 	l := newLedger(total)
 	now := time.Unix(1000, 0)
-	settle := func(i int, p *allotter.Purse, at time.Time) {
-		c := p.Claim(at, workspace, floor, pause)
+	settle := func(i int, p *allotter.Allocation, at time.Time) {
+		c := p.NextClaim(at, workspace, floor, pause)
 		sequence++
-		grants := l.Claim(&messenger.RightsChange{
+		grants := l.ApplyClaims(&messenger.RightsChange{
 			Router: strconv.Itoa(i), Incarnation: 9, Claims: []*messenger.RightsClaim{c}, Sequence: sequence,
 			Answered: sequence - 1, Sent: momentAt(at), Started: momentAt(at),
 		})
-		p.Granted(grants.Grants[0], c, at)
+		p.ApplyGrant(grants.Grants[0], c, at)
 	}
 	var held int64
 	for i := range 78 {
-		p := &allotter.Purse{}
-		p.Among(78)
+		p := &allotter.Allocation{}
+		p.SetHolders(78)
 		for round := range 3 {
 			settle(i, p, now.Add(time.Duration(round)*pause))
 		}
@@ -105,7 +105,7 @@
 	var lost int64
 	for i := range 12 {
 		sequence++
-		out := l.Claim(&messenger.RightsChange{
+		out := l.ApplyClaims(&messenger.RightsChange{
 			Router: strconv.Itoa(i), Incarnation: 10, Sequence: sequence, Sent: momentAt(restartedAt), Started: momentAt(restartedAt),
 		})
 		lost += out.WrittenOff
--- a/budgeter/action.go
+++ b/budgeter/action.go
@@ -7,70 +7,70 @@
 )
 
 // CorrelationID links a Reply to the event that requested it.
-type Ticket uint64
+type CorrelationID uint64
 
 // Event is an input of a vault; see Vault.Step.
 type Event interface{ isEvent() }
 
 // Mint creates rights for a top-up. A top-up with a known ID creates none.
 type Mint struct {
-	Ticket  Ticket
-	Request *messenger.TopUpRequest
+	CorrelationID CorrelationID
+	Request       *messenger.TopUpRequest
 }
 
 // Lease requests rights for a router.
 type Lease struct {
-	Ticket  Ticket
-	Request *messenger.LeaseRequest
+	CorrelationID CorrelationID
+	Request       *messenger.LeaseRequest
 }
 
 // Bill turns leased rights into charges.
 type Bill struct {
-	Ticket  Ticket
-	Request *messenger.ChargeRequest
+	CorrelationID CorrelationID
+	Request       *messenger.ChargeRequest
 }
 
 // ReturnRights returns leased rights of a router to the vault.
-type Return struct {
-	Ticket  Ticket
-	Request *messenger.ReturnRequest
+type ReturnRights struct {
+	CorrelationID CorrelationID
+	Request       *messenger.ReturnRequest
 }
 
 // RequestTransfer requests a transfer of rights from this zone to another.
-type Ask struct {
-	Ticket  Ticket
-	Request *messenger.AskRequest
+type RequestTransfer struct {
+	CorrelationID CorrelationID
+	Request       *messenger.AskRequest
 }
 
 // ReceiveTransfers credits transfers from another zone, each of them once.
-type Receive struct {
-	Ticket  Ticket
-	Request *messenger.GiveRequest
+type ReceiveTransfers struct {
+	CorrelationID CorrelationID
+	Request       *messenger.GiveRequest
 }
 
 // ConfirmTransfers removes pending transfers that the receiving zone has
 // recorded.
-type Confirm struct{ TransferIDs []string }
+type ConfirmTransfers struct{ TransferIDs []string }
 
 // Register announces an incarnation of a router and fences the earlier ones.
 type Register struct {
-	Ticket  Ticket
-	Request *messenger.RegisterRequest
+	CorrelationID CorrelationID
+	Request       *messenger.RegisterRequest
 }
 
 // Fence fences the incarnations of a router up to a given one. Their rights
 // stay leased until Release, because the witness may have stored charges of
 // theirs.
 type Fence struct {
-	Ticket  Ticket
-	Request *messenger.FenceRequest
+	CorrelationID CorrelationID
+	Request       *messenger.FenceRequest
 }
 
 // Release returns the unspent rights of fenced incarnations. It must follow the
 // fencing of the same incarnations by the witness.
 type Release struct {
-	Ticket Ticket
-	Router string
+	CorrelationID CorrelationID
+	Router        string
 	// Incarnation is the last one that the witness has fenced.
 	Incarnation uint64
 	Witness     *messenger.FenceWitnessReply
@@ -78,46 +78,46 @@
 
 // Witness stores charges of a router of another zone.
 type Witness struct {
-	Ticket  Ticket
-	Request *messenger.ChargeRequest
+	CorrelationID CorrelationID
+	Request       *messenger.ChargeRequest
 }
 
 // FenceWitness makes the vault refuse to store further charges of incarnations
 // of another zone's router.
 type FenceWitness struct {
-	Ticket  Ticket
-	Request *messenger.FenceWitnessRequest
+	CorrelationID CorrelationID
+	Request       *messenger.FenceWitnessRequest
 }
 
 // HandOver bills charges that a witness has stored.
 type HandOver struct {
-	Ticket  Ticket
-	Request *messenger.HandOverRequest
+	CorrelationID CorrelationID
+	Request       *messenger.HandOverRequest
 }
 
 // DropWitnessed deletes stored charges that their own zone has billed.
-type HandedOver struct{ Charges []*messenger.Charge }
+type DropWitnessed struct{ Charges []*messenger.Charge }
 
 // RecordSoloMark stores the solo mark of another keeper and replies with the
 // stored mark. Without a commit number it only queries the mark. See
 // Vault.SoloMark.
-type Mark struct {
-	Ticket  Ticket
-	Request *messenger.MarkRequest
+type RecordSoloMark struct {
+	CorrelationID CorrelationID
+	Request       *messenger.MarkRequest
 }
 
 // StartIncarnation gives an empty vault its incarnation. If Copy is set, the
 // rows were restored from a copy after the loss of a disk, and all unspent
 // rights are frozen until VerifyRestore succeeds.
-type Begin struct {
+type StartIncarnation struct {
 	Incarnation uint64
 	Copy        *messenger.CopyState
 }
 
 // VerifyRestore passes on what routers and keepers report about the time before
 // a restore.
-type Prove struct {
-	Ticket Ticket
+type VerifyRestore struct {
+	CorrelationID CorrelationID
 	// Routers are the names of the zone's routers in the settings.
 	Routers  []string
 	Holdings []*messenger.HoldingsReply
@@ -129,44 +129,44 @@
 // ClaimBills records which zone claims the bill of a request. The first claim
 // for a request wins.
 type ClaimBills struct {
-	Ticket  Ticket
-	Request *messenger.ClaimBillsRequest
+	CorrelationID CorrelationID
+	Request       *messenger.ClaimBillsRequest
 }
 
 // SettleClaims removes rows of BucketUnclaimed. Counting maps their keys to the
 // zones whose bills count, one for each request of the row in order. The other
 // bills are reversed.
-type BillsClaimed struct{ Counting map[string][]string }
+type SettleClaims struct{ Counting map[string][]string }
 
 func (ClaimBills) isEvent()   {}
-func (BillsClaimed) isEvent() {}
+func (SettleClaims) isEvent() {}
 
 // MirrorPaired makes a commit of its own, so that a copy that is complete again
 // is later than every solo mark.
-type Paired struct {
+type MirrorPaired struct {
 	// MirrorIncarnation is the incarnation of the mirror's own vault, or 0 if it
 	// is unknown.
 	MirrorIncarnation uint64
 }
 
-func (Paired) isEvent()       {}
-func (Mint) isEvent()         {}
-func (Lease) isEvent()        {}
-func (Bill) isEvent()         {}
-func (Return) isEvent()       {}
-func (Ask) isEvent()          {}
-func (Receive) isEvent()      {}
-func (Confirm) isEvent()      {}
-func (Register) isEvent()     {}
-func (Fence) isEvent()        {}
-func (Release) isEvent()      {}
-func (Witness) isEvent()      {}
-func (FenceWitness) isEvent() {}
-func (HandOver) isEvent()     {}
-func (HandedOver) isEvent()   {}
-func (Mark) isEvent()         {}
-func (Begin) isEvent()        {}
-func (Prove) isEvent()        {}
+func (MirrorPaired) isEvent()     {}
+func (Mint) isEvent()             {}
+func (Lease) isEvent()            {}
+func (Bill) isEvent()             {}
+func (ReturnRights) isEvent()     {}
+func (RequestTransfer) isEvent()  {}
+func (ReceiveTransfers) isEvent() {}
+func (ConfirmTransfers) isEvent() {}
+func (Register) isEvent()         {}
+func (Fence) isEvent()            {}
+func (Release) isEvent()          {}
+func (Witness) isEvent()          {}
+func (FenceWitness) isEvent()     {}
+func (HandOver) isEvent()         {}
+func (DropWitnessed) isEvent()    {}
+func (RecordSoloMark) isEvent()   {}
+func (StartIncarnation) isEvent() {}
+func (VerifyRestore) isEvent()    {}
 
 // Action is an output of a vault that its caller (the shell) executes. The
 // shell sends replies only after every row of the same step is synced.
@@ -182,9 +182,9 @@
 
 // Reply is the answer to an event; either Message or Err is set.
 type Reply struct {
-	Ticket  Ticket
-	Message proto.Message
-	Err     error
+	CorrelationID CorrelationID
+	Message       proto.Message
+	Err           error
 }
 
 func (Write) isAction() {}
--- a/budgeter/bill_claims.go
+++ b/budgeter/bill_claims.go
@@ -84,7 +84,7 @@
 }
 
 // settleClaims settles the claims of several rows of BucketUnclaimed.
-func (v *Vault) settleClaims(e BillsClaimed) {
+func (v *Vault) settleClaims(e SettleClaims) {
 	for key, counting := range sortedByKey(e.Counting) {
 		v.settleUnclaimedRow(key, counting)
 	}
--- a/budgeter/charge.go
+++ b/budgeter/charge.go
@@ -171,7 +171,7 @@
 
 // WitnessedCharges returns up to most stored charges that are to be handed over
 // to a zone.
-func (v *Vault) Witnessed(zone string, most int) []*messenger.Charge {
+func (v *Vault) WitnessedCharges(zone string, most int) []*messenger.Charge {
 	var out []*messenger.Charge
 	for _, c := range sortedByKey(v.witnessed) {
 		if c.Zone == zone && len(out) < most {
@@ -200,7 +200,7 @@
 }
 
 // dropWitnessed deletes stored charges after their own zone has billed them.
-func (v *Vault) dropWitnessed(e HandedOver) {
+func (v *Vault) dropWitnessed(e DropWitnessed) {
 	for _, c := range e.Charges {
 		delete(v.witnessed, witnessKey(c))
 		v.deleteResident(BucketWitnessed, witnessKey(c))
--- a/budgeter/copier.go
+++ b/budgeter/copier.go
@@ -80,7 +80,7 @@
 
 // UnmirroredCommits returns the number of commits that were answered and are
 // stored on one disk only.
-func (c *Copier) AtRisk() uint64 { return c.unmirrored }
+func (c *Copier) UnmirroredCommits() uint64 { return c.unmirrored }
 
 // Prepare numbers the rows of the next commit. The shell writes the new state
 // together with the rows and then calls Commit.
@@ -114,7 +114,7 @@
 
 // MissingCommits returns the commits that a mirror in the given state lacks. If
 // whole is true, the mirror needs a complete copy instead.
-func (c *Copier) Missing(mirror *messenger.CopyState) (commits []*messenger.CopyRequest, whole bool) {
+func (c *Copier) MissingCommits(mirror *messenger.CopyState) (commits []*messenger.CopyRequest, whole bool) {
 	if proto.Equal(mirror, c.state) {
 		return nil, false
 	}
@@ -131,7 +131,7 @@
 // MirrorCaughtUp records that the mirror has all commits up to a state. It
 // reports whether the vault is paired now, which fails if another commit was
 // made in the meantime.
-func (c *Copier) CaughtUp(mirror *messenger.CopyState) bool {
+func (c *Copier) MirrorCaughtUp(mirror *messenger.CopyState) bool {
 	if !proto.Equal(mirror, c.state) {
 		return false
 	}
@@ -141,11 +141,11 @@
 }
 
 // MirrorLost records that a commit may not have reached the mirror.
-func (c *Copier) Lost() { c.fire(eventLost) }
+func (c *Copier) MirrorLost() { c.fire(eventLost) }
 
 // SoloMarkStored records that another node knows that the copy will fall
 // behind.
-func (c *Copier) Marked() {
+func (c *Copier) SoloMarkStored() {
 	c.fire(eventMarked)
 	if c.Mode() == ModeSolo && c.unmirrored == 0 {
 		c.unmirrored = 1
@@ -163,7 +163,7 @@
 // FollowsCopy reports whether a commit directly follows the state of a mirror's
 // copy. After a gap, or with another history, the copy would lack commits, and
 // a restore would bring back rights that those commits had moved.
-func TakeCopy(have *messenger.CopyState, r *messenger.CopyRequest) bool {
+func FollowsCopy(have *messenger.CopyState, r *messenger.CopyRequest) bool {
 	return have.GetIncarnation() == r.State.Incarnation &&
 		have.GetNumber()+1 == r.State.Number &&
 		have.GetDigest() == r.PreviousDigest &&
@@ -211,7 +211,7 @@
 
 // MergeWrites merges the writes of several steps into the rows of one commit.
 // Each row appears once with its last value, sorted by bucket and key.
-func CopyRows(writes []Write) []*messenger.CopyRow {
+func MergeWrites(writes []Write) []*messenger.CopyRow {
 	last := make(map[rowKey]int, len(writes))
 	for i, w := range writes {
 		last[rowKey{w.Bucket, w.Key}] = i
@@ -236,7 +236,7 @@
 // restored from an older copy would not know of.
 func NeedsTwoDisks(e Event) bool {
 	switch e.(type) {
-	case Ask, Receive, FenceWitness, HandOver, ClaimBills:
+	case RequestTransfer, ReceiveTransfers, FenceWitness, HandOver, ClaimBills:
 		return true
 	default:
 		return false
--- a/budgeter/escrow.go
+++ b/budgeter/escrow.go
@@ -119,7 +119,7 @@
 }
 
 // confirmTransfers removes transfers that the other zone has recorded.
-func (v *Vault) confirmTransfers(e Confirm) {
+func (v *Vault) confirmTransfers(e ConfirmTransfers) {
 	for _, id := range e.TransferIDs {
 		t := v.pending[id]
 		if t == nil {
@@ -132,7 +132,7 @@
 }
 
 // PendingTransfers returns the unconfirmed outgoing transfers, sorted by ID.
-func (v *Vault) Pending() []*messenger.Transfer {
+func (v *Vault) PendingTransfers() []*messenger.Transfer {
 	out := make([]*messenger.Transfer, 0, len(v.pending))
 	for _, t := range sortedByKey(v.pending) {
 		out = append(out, t)
@@ -150,7 +150,7 @@
 
 // InFlight returns the rights of a workspace in unconfirmed outgoing transfers,
 // by receiving zone.
-func (v *Vault) UnderWay(workspace string) map[string]rattanhoist.Tokens {
+func (v *Vault) InFlight(workspace string) map[string]rattanhoist.Tokens {
 	b := v.books[workspace]
 	if b == nil {
 		return nil
--- a/budgeter/fuzz_test.go
+++ b/budgeter/fuzz_test.go
@@ -109,8 +109,8 @@
 // Run starts a run of a request.
 func (m machine) Run(t *rapid.T) {
 	name := workspace(t)
-	r := m.pick(t, func(r *routerNode) bool { return r.leaseOf(name).slice.Left() > 0 })
-	worst := min(rattanhoist.Tokens(amount(t, 40)), r.leaseOf(name).slice.Left())
+	r := m.pick(t, func(r *routerNode) bool { return r.leaseOf(name).slice.Available() > 0 })
+	worst := min(rattanhoist.Tokens(amount(t, 40)), r.leaseOf(name).slice.Available())
 	m.begin(r, name, m.request(t), worst)
 }
 
@@ -352,7 +352,7 @@
 		}
 		r.frozen = false
 		for _, name := range workspaces {
-			if n := r.leaseOf(name).slice.Left(); n > 0 {
+			if n := r.leaseOf(name).slice.Available(); n > 0 {
 				w.begin(r, name, fmt.Sprint("thawed", w.nextID()), n)
 			}
 		}
@@ -381,7 +381,7 @@
 		}
 		for _, name := range workspaces {
 			p := r.leaseOf(name)
-			if n := p.slice.Left(); n > 0 {
+			if n := p.slice.Available(); n > 0 {
 				request := fmt.Sprint("last", w.nextID())
 				w.begin(r, name, request, n)
 				w.finish(r, name+"/"+request, int64(n), false)
--- a/budgeter/lease.go
+++ b/budgeter/lease.go
@@ -154,7 +154,7 @@
 
 // UnreleasedRouters returns the routers with fenced incarnations whose unspent
 // rights can be returned only after the witness has fenced them too.
-func (v *Vault) Fencing() []*messenger.RouterRow {
+func (v *Vault) UnreleasedRouters() []*messenger.RouterRow {
 	var out []*messenger.RouterRow
 	for _, r := range sortedByKey(v.routers) {
 		if r.Released < r.Fenced {
@@ -207,7 +207,7 @@
 
 // UnfencedIncarnation returns the newest incarnation of a router, or 0 if it is
 // fenced.
-func (v *Vault) Unfenced(router string) uint64 {
+func (v *Vault) UnfencedIncarnation(router string) uint64 {
 	r := v.routers[router]
 	if r == nil || r.Incarnation <= r.Fenced {
 		return 0
@@ -217,7 +217,7 @@
 
 // RoutersWithLeases returns the sorted names of the routers that hold rights of
 // a workspace.
-func (v *Vault) Lessees(workspace string) []string {
+func (v *Vault) RoutersWithLeases(workspace string) []string {
 	b := v.books[workspace]
 	if b == nil {
 		return nil
@@ -235,4 +235,4 @@
 // RouterCount returns the number of routers that have ever registered or were
 // fenced here. It exceeds the number of the zone's routers if some were removed
 // from the settings.
-func (v *Vault) Routers() int { return len(v.routers) }
+func (v *Vault) RouterCount() int { return len(v.routers) }
--- a/budgeter/leased_budget.go
+++ b/budgeter/leased_budget.go
@@ -14,7 +14,7 @@
 //
 // Granted = available + reserved + spent + withdrawn whenever no operation is
 // in progress.
-type Slice struct {
+type LeasedBudget struct {
 	// base holds all rights until several threads contend for it.
 	base counter
 	// stripes is allocated at the first contention and kept. Most budgets never
@@ -68,7 +68,7 @@
 )
 
 // localCounter returns the counter that the calling thread should use first.
-func (s *Slice) localCounter() *counter {
+func (s *LeasedBudget) localCounter() *counter {
 	if !s.distributed.Load() {
 		return &s.base
 	}
@@ -95,7 +95,7 @@
 
 // Reserve reserves n tokens and reports whether the budget had them, summed
 // over all counters.
-func (s *Slice) Reserve(n rattanhoist.Tokens) bool {
+func (s *LeasedBudget) Reserve(n rattanhoist.Tokens) bool {
 	c := s.localCounter()
 	taken, contended := c.tryTake(int64(n))
 	if contended && c == &s.base {
@@ -112,7 +112,7 @@
 
 // reserveFromAll reserves n tokens from all counters together and returns false
 // only if their sum is too small.
-func (s *Slice) reserveFromAll(n int64) bool {
+func (s *LeasedBudget) reserveFromAll(n int64) bool {
 	if taken, _ := s.base.tryTake(n); taken {
 		return true
 	}
@@ -133,7 +133,7 @@
 
 // gatherToBase moves all rights to base and returns the number moved. The
 // caller holds mu.
-func (s *Slice) gatherToBase() int64 {
+func (s *LeasedBudget) gatherToBase() int64 {
 	s.distributed.Store(false)
 	all := s.stripes.Load()
 	if all == nil {
@@ -150,7 +150,7 @@
 
 // distribute splits the rights of base among the stripes if it holds enough for
 // requests of n tokens.
-func (s *Slice) distribute(n int64) {
+func (s *LeasedBudget) distribute(n int64) {
 	const enough = stripeCount * minRequestsPerStripe
 	if s.base.available.Load()/enough < n || !s.mu.TryLock() {
 		return
@@ -171,21 +171,21 @@
 
 // Settle ends a reservation. The spent tokens, at most all of the reserved
 // ones, were charged; the others become available.
-func (s *Slice) Settle(reserved, spent rattanhoist.Tokens) {
+func (s *LeasedBudget) Settle(reserved, spent rattanhoist.Tokens) {
 	c := s.localCounter()
 	c.spent.Add(int64(spent))
 	c.available.Add(int64(reserved - spent))
 }
 
 // Grant adds leased rights.
-func (s *Slice) Grant(n rattanhoist.Tokens) {
+func (s *LeasedBudget) Grant(n rattanhoist.Tokens) {
 	s.granted.Add(int64(n))
 	s.base.available.Add(int64(n))
 }
 
 // Withdraw removes up to n available tokens, to be returned to the vault, and
 // returns their number.
-func (s *Slice) Withdraw(n rattanhoist.Tokens) rattanhoist.Tokens {
+func (s *LeasedBudget) Withdraw(n rattanhoist.Tokens) rattanhoist.Tokens {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gatherToBase()
@@ -203,31 +203,31 @@
 
 // Available returns the number of unreserved tokens. It may be outdated while
 // other operations are in progress.
-func (s *Slice) Left() rattanhoist.Tokens {
+func (s *LeasedBudget) Available() rattanhoist.Tokens {
 	left, _ := s.sums()
 	return rattanhoist.Tokens(left)
 }
 
 // Spent returns the number of tokens that were settled as charged.
-func (s *Slice) Spent() rattanhoist.Tokens {
+func (s *LeasedBudget) Spent() rattanhoist.Tokens {
 	_, spent := s.sums()
 	return rattanhoist.Tokens(spent)
 }
 
 // Granted returns the total number of tokens granted.
-func (s *Slice) Granted() rattanhoist.Tokens { return rattanhoist.Tokens(s.granted.Load()) }
+func (s *LeasedBudget) Granted() rattanhoist.Tokens { return rattanhoist.Tokens(s.granted.Load()) }
 
 // Withdrawn returns the total number of tokens withdrawn.
-func (s *Slice) Withdrawn() rattanhoist.Tokens { return rattanhoist.Tokens(s.withdrawn.Load()) }
+func (s *LeasedBudget) Withdrawn() rattanhoist.Tokens { return rattanhoist.Tokens(s.withdrawn.Load()) }
 
 // Reserved returns the number of tokens reserved for requests in progress.
-func (s *Slice) Reserved() rattanhoist.Tokens {
+func (s *LeasedBudget) Reserved() rattanhoist.Tokens {
 	left, spent := s.sums()
 	return rattanhoist.Tokens(max(s.granted.Load()-s.withdrawn.Load()-left-spent, 0))
 }
 
 // sums returns the available and the spent tokens of all counters.
-func (s *Slice) sums() (left, spent int64) {
+func (s *LeasedBudget) sums() (left, spent int64) {
 	left, spent = s.base.available.Load(), s.base.spent.Load()
 	all := s.stripes.Load()
 	if all == nil {
@@ -242,13 +242,13 @@
 
 // AvailableBelow reports whether fewer than n tokens are available. A
 // distributed budget holds many tokens, so this reads only one counter.
-func (s *Slice) Below(n rattanhoist.Tokens) bool {
+func (s *LeasedBudget) AvailableBelow(n rattanhoist.Tokens) bool {
 	return !s.distributed.Load() && s.base.available.Load() < int64(n)
 }
 
 // RestoreTotals sets the totals of a new budget; it must be called before the
 // first use.
-func (s *Slice) Resume(granted, withdrawn, spent rattanhoist.Tokens) {
+func (s *LeasedBudget) RestoreTotals(granted, withdrawn, spent rattanhoist.Tokens) {
 	s.granted.Store(int64(granted))
 	s.withdrawn.Store(int64(withdrawn))
 	s.base.spent.Store(int64(spent))
--- a/budgeter/leased_budget_test.go
+++ b/budgeter/leased_budget_test.go
@@ -22,7 +22,7 @@
 func TestConcurrentSpendingConservesRights(t *testing.T) {
 	for seed := range uint64(8) {
 		g := gomega.NewWithT(t)
-		var s budgeter.Slice
+		var s budgeter.LeasedBudget
 		s.Grant(2_000_000)
 		var granted, withdrawn, spent, held atomic.Int64
 		granted.Store(2_000_000)
@@ -53,7 +53,7 @@
 		wg.Wait()
 		left := granted.Load() - withdrawn.Load() - spent.Load()
 		g.Expect(left).To(gomega.BeNumerically(">=", 0))
-		g.Expect(int64(s.Left())).To(gomega.Equal(left))
+		g.Expect(int64(s.Available())).To(gomega.Equal(left))
 		g.Expect(int64(s.Spent())).To(gomega.Equal(spent.Load()))
 		g.Expect(s.Reserved()).To(gomega.BeZero())
 		g.Expect(s.Reserve(rattanhoist.Tokens(left))).To(gomega.BeTrue(), "the last token must be found")
@@ -67,7 +67,7 @@
 func TestRacingSweepsRefuseOnlyOne(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for range 200 {
-		var s budgeter.Slice
+		var s budgeter.LeasedBudget
 		budgeter.GrantDistributedForTest(&s, 16_000)
 		var served atomic.Int64
 		var wg sync.WaitGroup
@@ -84,13 +84,13 @@
 }
 
 func TestIdleSliceIsSmall(t *testing.T) {
-	gomega.NewWithT(t).Expect(int(unsafe.Sizeof(budgeter.Slice{}))).To(gomega.BeNumerically("<=", 64))
+	gomega.NewWithT(t).Expect(int(unsafe.Sizeof(budgeter.LeasedBudget{}))).To(gomega.BeNumerically("<=", 64))
 }
 
 func TestReserveAndSettleAllocateNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, spread := range []bool{false, true} {
-		var s budgeter.Slice
+		var s budgeter.LeasedBudget
 		s.Grant(1 << 40)
 		if spread {
 			budgeter.GrantDistributedForTest(&s, 1<<40)
@@ -110,7 +110,7 @@
 	for _, threads := range []int{1, 2, 4, 8, 12} {
 		b.Run("threads_"+string(rune('0'+threads/10))+string(rune('0'+threads%10)), func(b *testing.B) {
 			defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(threads))
-			var s budgeter.Slice
+			var s budgeter.LeasedBudget
 			s.Grant(1 << 50)
 			b.ReportAllocs()
 			b.RunParallel(func(p *testing.PB) {
--- a/budgeter/oracle_test.go
+++ b/budgeter/oracle_test.go
@@ -108,7 +108,7 @@
 	lossy := slices.ContainsFunc(w.zones, func(z string) bool { return w.keepers[z].mayLackAnswers })
 	withheld := false
 	for _, z := range w.zones {
-		withheld = withheld || w.keepers[z].vault.Unproved() || w.keepers[z].vault.Totals().WithheldTokens > 0
+		withheld = withheld || w.keepers[z].vault.RestoreUnverified() || w.keepers[z].vault.Totals().WithheldTokens > 0
 	}
 	for _, name := range workspaces {
 		sum := &messenger.Book{}
--- a/budgeter/prune.go
+++ b/budgeter/prune.go
@@ -8,11 +8,11 @@
 
 // MaxPrunedPerStep bounds the number of bills, and of claims, that one step
 // examines.
-const PruneMost = 256
+const MaxPrunedPerStep = 256
 
 // RouterReport is a router's report about its own charges; see
 // messenger.RecallReply.
-type Heard struct {
+type RouterReport struct {
 	Incarnation      uint64
 	AnsweredBeforeMs int64
 }
@@ -30,7 +30,7 @@
 	// Retention is longer than the maximum time between two runs of one request.
 	Retention time.Duration
 	// Reports maps routers of the zone to their reports.
-	Heard map[string]Heard
+	Reports map[string]RouterReport
 	// OldestChargeMs is the result of Vault.OldestChargeMs before UnsettledMs
 	// was read. Bills made later are not older.
 	OldestChargeMs int64
@@ -63,13 +63,13 @@
 	if v.self.Unproved {
 		return
 	}
-	v.advanceOldestCharge(e.Heard)
+	v.advanceOldestCharge(e.Reports)
 	limit := min(e.OldestChargeMs, v.self.OldestChargeMs, e.UnsettledMs) - e.Retention.Milliseconds()
-	for _, key := range e.Charges[:min(len(e.Charges), PruneMost)] {
+	for _, key := range e.Charges[:min(len(e.Charges), MaxPrunedPerStep)] {
 		v.pruneCharge(key, limit)
 	}
 	limit = v.settledEverywhere(e.Zones) - e.Retention.Milliseconds()
-	for _, key := range e.Claims[:min(len(e.Claims), PruneMost)] {
+	for _, key := range e.Claims[:min(len(e.Claims), MaxPrunedPerStep)] {
 		v.pruneClaim(key, limit)
 	}
 }
@@ -77,7 +77,7 @@
 // advanceOldestCharge advances the time of the oldest accepted charge. It does
 // nothing while an incarnation may still send older charges, itself or through
 // the witness: one that is fenced and not released, or whose report is missing.
-func (v *Vault) advanceOldestCharge(heard map[string]Heard) {
+func (v *Vault) advanceOldestCharge(heard map[string]RouterReport) {
 	oldest := v.nowMs
 	for name, r := range v.routers {
 		if r.Released >= r.Incarnation {
--- a/budgeter/prune_test.go
+++ b/budgeter/prune_test.go
@@ -85,12 +85,12 @@
 	}
 	for _, r := range w.zoneRouters(k.zone) {
 		if r.up && !r.frozen {
-			k.heard[r.name] = budgeter.Heard{Incarnation: r.incarnation, AnsweredBeforeMs: r.answeredBefore(w)}
+			k.heard[r.name] = budgeter.RouterReport{Incarnation: r.incarnation, AnsweredBeforeMs: r.answeredBefore(w)}
 		}
 	}
 	charges, claims := k.keys(budgeter.BucketCharges), k.keys(budgeter.BucketClaimed)
 	w.commit(k, budgeter.Prune{
-		Retention: retentionMs * time.Millisecond, Heard: maps.Clone(k.heard),
+		Retention: retentionMs * time.Millisecond, Reports: maps.Clone(k.heard),
 		OldestChargeMs: k.vault.OldestChargeMs(), UnsettledMs: k.unsettled(),
 		Charges: charges, Claims: claims, Zones: w.zones,
 	})
@@ -144,8 +144,8 @@
 	}
 	zone := ""
 	for range rapid.IntRange(1, 2).Draw(t, "runs") {
-		r := m.pick(t, func(r *routerNode) bool { return r.leaseOf(name).slice.Left() > 0 && r.zone != zone })
-		m.begin(r, name, id, min(rattanhoist.Tokens(amount(t, 40)), r.leaseOf(name).slice.Left()))
+		r := m.pick(t, func(r *routerNode) bool { return r.leaseOf(name).slice.Available() > 0 && r.zone != zone })
+		m.begin(r, name, id, min(rattanhoist.Tokens(amount(t, 40)), r.leaseOf(name).slice.Available()))
 		m.finish(r, name+"/"+id, amount(t, 40), witness)
 		zone = r.zone
 	}
@@ -191,7 +191,7 @@
 	m.cut[c] = true
 	id := fmt.Sprint("s", m.nextID())
 	for _, r := range m.routers {
-		if r.up && !r.frozen && r.sharesVM && r.leaseOf("w").slice.Left() > 0 {
+		if r.up && !r.frozen && r.sharesVM && r.leaseOf("w").slice.Available() > 0 {
 			m.begin(r, "w", id, 1)
 			m.finish(r, "w/"+id, 1, false)
 		}
@@ -229,9 +229,9 @@
 func (m machine) Restart(t *rapid.T) {
 	rarely(t)
 	name := workspace(t)
-	r := m.pick(t, func(r *routerNode) bool { return r.leaseOf(name).slice.Left() > 0 })
+	r := m.pick(t, func(r *routerNode) bool { return r.leaseOf(name).slice.Available() > 0 })
 	id := fmt.Sprint("u", m.nextID())
-	m.begin(r, name, id, r.leaseOf(name).slice.Left())
+	m.begin(r, name, id, r.leaseOf(name).slice.Available())
 	m.finish(r, name+"/"+id, amount(t, 40), true)
 	m.flush(t)
 	m.startRouter(r)
@@ -249,7 +249,7 @@
 	m.flush(t)
 	pair, id := m.zoneRouters(m.keeper(t).zone), fmt.Sprint("s", m.nextID())
 	for _, r := range pair {
-		if !r.up || r.frozen || r.leaseOf("w").slice.Left() < 2 {
+		if !r.up || r.frozen || r.leaseOf("w").slice.Available() < 2 {
 			t.Skip("no two routers")
 		}
 	}
--- a/budgeter/repair.go
+++ b/budgeter/repair.go
@@ -15,7 +15,7 @@
 // charges of completed answers. Leased rights stay leased, because the routers
 // report what they hold. All unspent rights are frozen until verifyRestore
 // succeeds.
-func (v *Vault) startIncarnation(e Begin) {
+func (v *Vault) startIncarnation(e StartIncarnation) {
 	v.self.Incarnation = e.Incarnation
 	v.self.LastTransfer = 0
 	if e.Copy != nil {
@@ -108,7 +108,7 @@
 // ends the freeze if no answered commit can be missing: either the copy is
 // complete, or every router that the zone had is still running and so still has
 // the charges that may have been on the lost disk only.
-func (v *Vault) verifyRestore(e Prove) {
+func (v *Vault) verifyRestore(e VerifyRestore) {
 	if !v.self.Unproved {
 		return
 	}
--- a/budgeter/restart_test.go
+++ b/budgeter/restart_test.go
@@ -22,7 +22,7 @@
 			out = a
 		}
 	}
-	apply(d.rows, budgeter.CopyRows(writes))
+	apply(d.rows, budgeter.MergeWrites(writes))
 	v.Synced()
 	return out
 }
@@ -40,14 +40,14 @@
 var (
 	mintEvent  = budgeter.Mint{Request: &messenger.TopUpRequest{Workspace: "w", TopUpId: "a/1", Tokens: 100}}
 	leaseEvent = budgeter.Lease{Request: &messenger.LeaseRequest{Workspace: "w", Router: "r", Incarnation: 5, Sequence: 1, WantTokens: 40}}
-	askEvent   = budgeter.Ask{Request: &messenger.AskRequest{Workspace: "w", Zone: "b", WantTokens: 1}}
+	askEvent   = budgeter.RequestTransfer{Request: &messenger.AskRequest{Workspace: "w", Zone: "b", WantTokens: 1}}
 )
 
 // funded returns a vault with a top-up and a lease, and its disk.
 func funded() (*disk, *budgeter.Vault) {
 	d := newDisk()
 	v := budgeter.NewVault("a", d)
-	stepOn(d, v, budgeter.Begin{Incarnation: 1})
+	stepOn(d, v, budgeter.StartIncarnation{Incarnation: 1})
 	stepOn(d, v, mintEvent)
 	stepOn(d, v, leaseEvent)
 	return d, v
@@ -79,12 +79,12 @@
 		seen[id] = true
 	}
 	give()
-	stepOn(d, v, budgeter.Confirm{TransferIDs: []string{"a/1/1"}})
+	stepOn(d, v, budgeter.ConfirmTransfers{TransferIDs: []string{"a/1/1"}})
 	v = restart(g, d)
 	give()
 	v = restart(g, d)
-	stepOn(d, v, budgeter.Begin{Incarnation: 2, Copy: &messenger.CopyState{Incarnation: 1}})
-	stepOn(d, v, budgeter.Prove{CopyComplete: true})
+	stepOn(d, v, budgeter.StartIncarnation{Incarnation: 2, Copy: &messenger.CopyState{Incarnation: 1}})
+	stepOn(d, v, budgeter.VerifyRestore{CopyComplete: true})
 	give()
 }
 
@@ -111,7 +111,7 @@
 func TestRestoredVaultWaitsForItsRouters(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d, v := funded()
-	stepOn(d, v, budgeter.Begin{Incarnation: 2, Copy: &messenger.CopyState{Incarnation: 1, Number: 3}})
+	stepOn(d, v, budgeter.StartIncarnation{Incarnation: 2, Copy: &messenger.CopyState{Incarnation: 1, Number: 3}})
 	more := budgeter.Lease{Request: &messenger.LeaseRequest{Workspace: "w", Router: "r", Incarnation: 5, Sequence: 3, WantTokens: 100}}
 	g.Expect(stepOn(d, v, more).Err).To(gomega.MatchError(budgeter.ErrRepairing))
 	holdings := &messenger.HoldingsReply{
@@ -119,10 +119,10 @@
 		Holdings: []*messenger.Holding{{Workspace: "w", Sequence: 2, GrantedTokens: 70}},
 		Charges:  []*messenger.Charge{{Workspace: "w", RequestId: "kept", Tokens: 7}},
 	}
-	stepOn(d, v, budgeter.Prove{Routers: []string{"r", "gone"}, Holdings: []*messenger.HoldingsReply{holdings}})
-	g.Expect(v.Unproved()).To(gomega.BeTrue())
+	stepOn(d, v, budgeter.VerifyRestore{Routers: []string{"r", "gone"}, Holdings: []*messenger.HoldingsReply{holdings}})
+	g.Expect(v.RestoreUnverified()).To(gomega.BeTrue())
 	want := &messenger.Book{Workspace: "w", Zone: "a", MintedTokens: 100, LeasedTokens: 63, ChargedTokens: 7, FrozenTokens: 30}
 	g.Expect(proto.Equal(v.Book("w"), want)).To(gomega.BeTrue(), v.Book("w").String())
-	stepOn(d, v, budgeter.Prove{Routers: []string{"r"}, Holdings: []*messenger.HoldingsReply{holdings}})
-	g.Expect([]any{v.Unproved(), v.Unspent("w")}).To(gomega.Equal([]any{false, int64(30)}))
+	stepOn(d, v, budgeter.VerifyRestore{Routers: []string{"r"}, Holdings: []*messenger.HoldingsReply{holdings}})
+	g.Expect([]any{v.RestoreUnverified(), v.Unspent("w")}).To(gomega.Equal([]any{false, int64(30)}))
 }
--- a/budgeter/router_test.go
+++ b/budgeter/router_test.go
@@ -106,7 +106,7 @@
 	}
 	m, k := p.returning, w.keepers[r.zone]
 	w.send(r.zone, r.zone, func() {
-		got, err := w.commit(k, budgeter.Return{Request: m})
+		got, err := w.commit(k, budgeter.ReturnRights{Request: m})
 		if got == nil || err != nil {
 			return
 		}
--- a/budgeter/rows.go
+++ b/budgeter/rows.go
@@ -34,7 +34,7 @@
 
 // ResidentBuckets lists the buckets whose rows are kept in memory; Restore must
 // get all of them. Rows of the other buckets are read from disk when needed.
-var Resident = []string{
+var ResidentBuckets = []string{
 	BucketVault, BucketBooks, BucketLeases, BucketTransfers,
 	BucketRouters, BucketWitnessed, BucketRefused, BucketMarks,
 }
--- a/budgeter/vault.go
+++ b/budgeter/vault.go
@@ -214,25 +214,25 @@
 func (v *Vault) handle(e Event) {
 	switch e := e.(type) {
 	case Mint:
-		v.replyTo(e.Ticket)(v.mint(e.Request))
+		v.replyTo(e.CorrelationID)(v.mint(e.Request))
 	case Lease:
-		v.replyTo(e.Ticket)(v.lease(e.Request))
+		v.replyTo(e.CorrelationID)(v.lease(e.Request))
 	case Bill:
-		v.replyTo(e.Ticket)(v.bill(e.Request))
-	case Return:
-		v.replyTo(e.Ticket)(v.returnRights(e.Request))
-	case Ask:
-		v.replyTo(e.Ticket)(v.startTransfer(e.Request))
-	case Receive:
-		v.replyTo(e.Ticket)(v.receiveTransfers(e.Request))
-	case Confirm:
+		v.replyTo(e.CorrelationID)(v.bill(e.Request))
+	case ReturnRights:
+		v.replyTo(e.CorrelationID)(v.returnRights(e.Request))
+	case RequestTransfer:
+		v.replyTo(e.CorrelationID)(v.startTransfer(e.Request))
+	case ReceiveTransfers:
+		v.replyTo(e.CorrelationID)(v.receiveTransfers(e.Request))
+	case ConfirmTransfers:
 		v.confirmTransfers(e)
 	case Register:
-		v.replyTo(e.Ticket)(v.register(e.Request))
+		v.replyTo(e.CorrelationID)(v.register(e.Request))
 	case Fence:
-		v.replyTo(e.Ticket)(v.fence(e.Request))
+		v.replyTo(e.CorrelationID)(v.fence(e.Request))
 	case Release:
-		v.replyTo(e.Ticket)(v.release(e))
+		v.replyTo(e.CorrelationID)(v.release(e))
 	default:
 		v.handleMaintenance(e)
 	}
@@ -243,37 +243,37 @@
 func (v *Vault) handleMaintenance(e Event) {
 	switch e := e.(type) {
 	case Witness:
-		v.replyTo(e.Ticket)(v.storeWitnessed(e.Request))
+		v.replyTo(e.CorrelationID)(v.storeWitnessed(e.Request))
 	case FenceWitness:
-		v.replyTo(e.Ticket)(v.fenceWitness(e.Request))
+		v.replyTo(e.CorrelationID)(v.fenceWitness(e.Request))
 	case HandOver:
-		v.replyTo(e.Ticket)(v.handOver(e.Request))
-	case HandedOver:
+		v.replyTo(e.CorrelationID)(v.handOver(e.Request))
+	case DropWitnessed:
 		v.dropWitnessed(e)
 	case ClaimBills:
-		v.replyTo(e.Ticket)(v.claimBills(e.Request))
-	case BillsClaimed:
+		v.replyTo(e.CorrelationID)(v.claimBills(e.Request))
+	case SettleClaims:
 		v.settleClaims(e)
 	case Prune:
 		v.prune(e)
-	case Mark:
-		v.replyTo(e.Ticket)(v.recordSoloMark(e.Request))
-	case Begin:
+	case RecordSoloMark:
+		v.replyTo(e.CorrelationID)(v.recordSoloMark(e.Request))
+	case StartIncarnation:
 		v.startIncarnation(e)
-	case Paired:
+	case MirrorPaired:
 		v.self.WitnessIncarnation = max(v.self.WitnessIncarnation, e.MirrorIncarnation)
 		v.storeSelf()
-	case Prove:
+	case VerifyRestore:
 		v.verifyRestore(e)
-		v.replyTo(e.Ticket)(proto.CloneOf(v.self), nil)
+		v.replyTo(e.CorrelationID)(proto.CloneOf(v.self), nil)
 	}
 }
 
 // replyTo returns a function that adds the reply to an event to the current
 // step.
-func (v *Vault) replyTo(t Ticket) func(proto.Message, error) {
+func (v *Vault) replyTo(t CorrelationID) func(proto.Message, error) {
 	return func(m proto.Message, err error) {
-		r := Reply{Ticket: t, Err: err}
+		r := Reply{CorrelationID: t, Err: err}
 		if err == nil {
 			r.Message = m
 		}
@@ -304,7 +304,7 @@
 func (v *Vault) Incarnation() uint64 { return v.self.Incarnation }
 
 // RestoreUnverified reports whether rights are frozen after a restore.
-func (v *Vault) Unproved() bool { return v.self.Unproved }
+func (v *Vault) RestoreUnverified() bool { return v.self.Unproved }
 
 // Book returns the account of a workspace, including its rights in flight.
 func (v *Vault) Book(workspace string) *messenger.Book {
--- a/budgeter/vault_test.go
+++ b/budgeter/vault_test.go
@@ -17,7 +17,7 @@
 
 func newVault(zone string) *budgeter.Vault {
 	v := budgeter.NewVault(zone, noRows{})
-	v.Step(time.Time{}, budgeter.Begin{Incarnation: 1})
+	v.Step(time.Time{}, budgeter.StartIncarnation{Incarnation: 1})
 	return v
 }
 
@@ -69,13 +69,13 @@
 	v := newVault("a")
 	ask(v, budgeter.Mint{Request: &messenger.TopUpRequest{Workspace: "w", TopUpId: "a/1", Tokens: 100}})
 	held := func(zone string, want int64) int64 {
-		r := ask(v, budgeter.Ask{Request: &messenger.AskRequest{Workspace: "w", Zone: zone, WantTokens: want}})
+		r := ask(v, budgeter.RequestTransfer{Request: &messenger.AskRequest{Workspace: "w", Zone: zone, WantTokens: want}})
 		return r.Message.(*messenger.AskReply).HeldTokens
 	}
 	g.Expect(held("c", 100)).To(gomega.BeZero(), "the asker has its own transfer in hand")
 	g.Expect(held("b", 10)).To(gomega.Equal(int64(100)))
 	l := ask(v, budgeter.Lease{Request: &messenger.LeaseRequest{Workspace: "w", Router: "r", Incarnation: 1, Sequence: 1, WantTokens: 10}})
 	g.Expect(l.Message.(*messenger.LeaseReply).HeldTokens).To(gomega.Equal(int64(100)))
-	v.Step(time.Time{}, budgeter.Confirm{TransferIDs: []string{v.Pending()[0].TransferId}})
+	v.Step(time.Time{}, budgeter.ConfirmTransfers{TransferIDs: []string{v.PendingTransfers()[0].TransferId}})
 	g.Expect(held("b", 10)).To(gomega.BeZero())
 }
--- a/budgeter/world_test.go
+++ b/budgeter/world_test.go
@@ -64,7 +64,7 @@
 	// router.
 	mayLackAnswers bool
 	// heard holds the latest reports of the zone's routers.
-	heard map[string]budgeter.Heard
+	heard map[string]budgeter.RouterReport
 }
 
 // crashPoint is the point of the next commit at which the keeper crashes.
@@ -81,7 +81,7 @@
 // routerLease holds a router's rights of one workspace and its open request for
 // them.
 type routerLease struct {
-	slice             budgeter.Slice
+	slice             budgeter.LeasedBudget
 	sequence          uint64
 	granted, returned int64
 	asking            *messenger.LeaseRequest
@@ -199,13 +199,13 @@
 // copy if the disk is empty.
 func (w *world) startKeeper(k *keeper) {
 	v := budgeter.NewVault(k.zone, k.disk)
-	var begin *budgeter.Begin
+	var begin *budgeter.StartIncarnation
 	if !k.disk.begun {
 		k.disk.rows = map[rowName][]byte{}
 		if !w.reachable(k.zone, k.mirror) {
 			return
 		}
-		begin = &budgeter.Begin{Incarnation: w.nextID()}
+		begin = &budgeter.StartIncarnation{Incarnation: w.nextID()}
 		if c := w.keepers[k.mirror].disk.copies[k.zone]; c != nil {
 			k.disk.rows = maps.Clone(c.rows)
 			begin.Copy = c.state
@@ -217,7 +217,7 @@
 	}
 	w.check(v.Check() == nil, "books of "+k.zone+" do not balance after a restart")
 	k.vault = v
-	k.heard = map[string]budgeter.Heard{}
+	k.heard = map[string]budgeter.RouterReport{}
 	k.copier = budgeter.NewCopier(k.disk.state, k.disk.paired, func(_, to string) { w.counts[to]++ })
 	if begin != nil {
 		k.disk.paired = false
@@ -256,7 +256,7 @@
 	}
 	w.traceEvent("%s %T %v -> %v %v", k.zone, e, e, reply.Message, reply.Err)
 	w.check(k.vault.Check() == nil, fmt.Sprintf("books of %s do not balance after %T", k.zone, e))
-	if !w.sync(k, budgeter.CopyRows(writes)) {
+	if !w.sync(k, budgeter.MergeWrites(writes)) {
 		return nil, nil
 	}
 	if !mayAnswer(k.copier.Mode(), e) {
@@ -296,7 +296,7 @@
 	}
 	k.copier.Commit(r)
 	if k.copier.Mode() == budgeter.ModePaired && !w.copyTo(k, r) {
-		k.copier.Lost()
+		k.copier.MirrorLost()
 	}
 	if k.copier.Mode() == budgeter.ModeMarking {
 		w.markSolo(k, r.State.Number)
@@ -313,7 +313,7 @@
 func (w *world) copyTo(k *keeper, r *messenger.CopyRequest) bool {
 	m := w.keepers[k.mirror]
 	c := m.disk.copies[k.zone]
-	if !w.reachable(k.zone, m.zone) || m.vault == nil || c == nil || !budgeter.TakeCopy(c.state, r) {
+	if !w.reachable(k.zone, m.zone) || m.vault == nil || c == nil || !budgeter.FollowsCopy(c.state, r) {
 		return false
 	}
 	apply(c.rows, r.Rows)
@@ -335,7 +335,7 @@
 		if o.copier.Mode() == budgeter.ModeMarking {
 			continue
 		}
-		m, err := w.commit(o, budgeter.Mark{Request: &messenger.MarkRequest{Mark: mark}})
+		m, err := w.commit(o, budgeter.RecordSoloMark{Request: &messenger.MarkRequest{Mark: mark}})
 		held = held || m != nil && err == nil
 	}
 	for _, r := range w.zoneRouters(k.zone) {
@@ -345,7 +345,7 @@
 		}
 	}
 	if held && k.copier != nil {
-		k.copier.Marked()
+		k.copier.SoloMarkStored()
 	}
 }
 
@@ -361,7 +361,7 @@
 	if c != nil {
 		have = c.state
 	}
-	missing, whole := k.copier.Missing(have)
+	missing, whole := k.copier.MissingCommits(have)
 	if whole {
 		m.disk.copies[k.zone] = &mirrorCopy{state: k.disk.state, rows: maps.Clone(k.disk.rows)}
 		w.counts["whole copy"]++
@@ -369,18 +369,18 @@
 	for _, r := range missing {
 		w.check(w.copyTo(k, r), "mirror refuses a missing commit")
 	}
-	if k.copier.CaughtUp(m.disk.copies[k.zone].state) {
+	if k.copier.MirrorCaughtUp(m.disk.copies[k.zone].state) {
 		k.disk.paired = true
-		w.commit(k, budgeter.Paired{MirrorIncarnation: m.vault.Incarnation()})
+		w.commit(k, budgeter.MirrorPaired{MirrorIncarnation: m.vault.Incarnation()})
 	}
 }
 
 // prove collects the reports of routers and keepers after a restore.
 func (w *world) prove(k *keeper) {
-	if k.vault == nil || !k.vault.Unproved() {
+	if k.vault == nil || !k.vault.RestoreUnverified() {
 		return
 	}
-	p := budgeter.Prove{}
+	p := budgeter.VerifyRestore{}
 	e := budgeter.Evidence{KeepersAsked: 1}
 	for _, r := range w.zoneRouters(k.zone) {
 		p.Routers = append(p.Routers, r.name)
@@ -396,7 +396,7 @@
 		if o.zone == k.zone || o.zone == k.mirror || !w.reachable(k.zone, o.zone) {
 			continue
 		}
-		m, err := w.commit(o, budgeter.Mark{Request: &messenger.MarkRequest{Mark: &messenger.SoloMark{Zone: k.zone}}})
+		m, err := w.commit(o, budgeter.RecordSoloMark{Request: &messenger.MarkRequest{Mark: &messenger.SoloMark{Zone: k.zone}}})
 		if m != nil && err == nil {
 			e.Keepers = append(e.Keepers, m.(*messenger.MarkReply))
 		}
@@ -404,7 +404,7 @@
 	e.Holdings = p.Holdings
 	p.CopyComplete = k.vault.CopyComplete(e)
 	w.commit(k, p)
-	if k.vault != nil && !k.vault.Unproved() {
+	if k.vault != nil && !k.vault.RestoreUnverified() {
 		w.counts["proved"]++
 		if p.CopyComplete {
 			w.counts["proved by marks"]++
@@ -421,7 +421,7 @@
 	if k.vault == nil || k.copier.Mode() != budgeter.ModePaired || !w.reachable(k.zone, m.zone) {
 		return
 	}
-	for _, r := range k.vault.Fencing() {
+	for _, r := range k.vault.UnreleasedRouters() {
 		upTo := r.Fenced
 		got, err := w.commit(m, budgeter.FenceWitness{Request: &messenger.FenceWitnessRequest{Zone: k.zone, Router: r.Router, Incarnation: upTo}})
 		if got == nil || err != nil {
@@ -442,13 +442,13 @@
 	}
 	for _, z := range w.zones {
 		o := w.keepers[z]
-		charges := k.vault.Witnessed(o.zone, 8)
+		charges := k.vault.WitnessedCharges(o.zone, 8)
 		if len(charges) == 0 || !w.reachable(k.zone, o.zone) {
 			continue
 		}
 		got, err := w.commit(o, budgeter.HandOver{Request: &messenger.HandOverRequest{Charges: charges}})
 		if got != nil && err == nil {
-			w.commit(k, budgeter.HandedOver{Charges: charges})
+			w.commit(k, budgeter.DropWitnessed{Charges: charges})
 			w.counts["handed over"]++
 		}
 		if k.vault == nil {
@@ -489,7 +489,7 @@
 		if slices.ContainsFunc(counting, func(z string) bool { return z != k.zone }) {
 			w.counts["reversed"]++
 		}
-		w.commit(k, budgeter.BillsClaimed{Counting: map[string][]string{key: counting}})
+		w.commit(k, budgeter.SettleClaims{Counting: map[string][]string{key: counting}})
 		if k.vault == nil {
 			return
 		}
--- a/budgeter/world_transfers_test.go
+++ b/budgeter/world_transfers_test.go
@@ -11,7 +11,7 @@
 	if k.vault == nil || k.copier.Mode() != budgeter.ModePaired {
 		return
 	}
-	for _, t := range k.vault.Pending() {
+	for _, t := range k.vault.PendingTransfers() {
 		w.give(k, t)
 	}
 }
@@ -20,12 +20,12 @@
 func (w *world) give(k *keeper, t *messenger.Transfer) {
 	o := w.keepers[t.ToZone]
 	w.send(k.zone, o.zone, func() {
-		got, err := w.commit(o, budgeter.Receive{Request: &messenger.GiveRequest{Transfers: []*messenger.Transfer{t}}})
+		got, err := w.commit(o, budgeter.ReceiveTransfers{Request: &messenger.GiveRequest{Transfers: []*messenger.Transfer{t}}})
 		if got == nil || err != nil {
 			return
 		}
 		w.send(o.zone, k.zone, func() {
-			w.commit(k, budgeter.Confirm{TransferIDs: got.(*messenger.GiveReply).AcceptedIds})
+			w.commit(k, budgeter.ConfirmTransfers{TransferIDs: got.(*messenger.GiveReply).AcceptedIds})
 		})
 	})
 }
@@ -37,7 +37,7 @@
 	}
 	r := &messenger.AskRequest{Workspace: workspace, Zone: k.zone, WantTokens: n, VaultIncarnation: k.vault.Incarnation()}
 	w.send(k.zone, o.zone, func() {
-		got, err := w.commit(o, budgeter.Ask{Request: r})
+		got, err := w.commit(o, budgeter.RequestTransfer{Request: r})
 		if got == nil || err != nil || got.(*messenger.AskReply).Transfer == nil {
 			return
 		}
--- a/claimer/attempt.go
+++ b/claimer/attempt.go
@@ -51,7 +51,7 @@
 	}
 	a.answered[voter] = true
 	switch {
-	case r == nil || now.Sub(a.begun) >= ClaimTime:
+	case r == nil || now.Sub(a.begun) >= ClaimTimeout:
 		a.notGranted++
 	case r.Verdict == messenger.ClaimVerdict_CLAIM_VERDICT_GRANTED:
 		a.granted++
@@ -108,4 +108,4 @@
 // CopiesToOpen returns how many keepers with old disks a keeper with a new
 // disk must copy before it may decide. The number ensures an overlap with
 // every majority that the lost disk was part of.
-func OpenAfter(keepers int) int { return keepers - (keepers/2 + 1) + 1 }
+func CopiesToOpen(keepers int) int { return keepers - (keepers/2 + 1) + 1 }
--- a/claimer/claimer_test.go
+++ b/claimer/claimer_test.go
@@ -138,7 +138,7 @@
 	for i := range 3 {
 		w.disks = append(w.disks, w.newDisk(i, 0))
 	}
-	w.advance(5 * claimer.ClaimTime)
+	w.advance(5 * claimer.ClaimTimeout)
 	for i := range w.disks {
 		w.open(i)
 	}
@@ -147,7 +147,7 @@
 
 func (w *simulation) newDisk(i, n int) *disk {
 	d := &disk{core: claimer.NewCore(), rows: map[[2]string][]byte{}, generation: n, createdAt: w.now}
-	d.apply(d.core.Name(fmt.Sprintf("disk-%d-%d", i, n)))
+	d.apply(d.core.SetStore(fmt.Sprintf("disk-%d-%d", i, n)))
 	return d
 }
 
@@ -261,7 +261,7 @@
 // open repairs a keeper's new disk as the keeper process does.
 func (w *simulation) open(k int) {
 	d := w.disks[k]
-	early := w.now.Sub(d.createdAt) < 2*claimer.ClaimTime
+	early := w.now.Sub(d.createdAt) < 2*claimer.ClaimTimeout
 	if d.core.IsOpen() || early && w.fault != openTooEarly && w.fault != openWithoutCopy {
 		return
 	}
@@ -270,7 +270,7 @@
 	for i, x := range w.disks {
 		switch {
 		case i == k:
-		case x.core.IsOpen() && x.core.Founded(d.core.Store()):
+		case x.core.IsOpen() && x.core.IsFounder(d.core.Store()):
 			old = len(w.disks)
 		case x.core.IsOpen():
 			old++
@@ -282,7 +282,7 @@
 	if w.fault == openWithoutCopy {
 		o.Rows = nil
 	}
-	if len(o.Founders) == len(w.disks)-1 || old >= claimer.OpenAfter(len(w.disks)) {
+	if len(o.Founders) == len(w.disks)-1 || old >= claimer.CopiesToOpen(len(w.disks)) {
 		d.apply(d.core.Step(w.now, o))
 	}
 }
@@ -383,7 +383,7 @@
 		g.Expect(w.disks[0].core.Len()).To(gomega.Equal(i + 1))
 	}
 	w.restart(0)
-	w.advance(claimer.Horizon - 150*time.Minute)
+	w.advance(claimer.Retention - 150*time.Minute)
 	d := w.disks[0]
 	d.apply(d.core.Step(w.now, claimer.Tick{}))
 	g.Expect(d.core.Len()).To(gomega.Equal(2))
--- a/claimer/core.go
+++ b/claimer/core.go
@@ -27,7 +27,7 @@
 	BucketStore  = "claim_store"
 	// BucketLegacy maps workspace and request id to a row, as earlier
 	// versions stored it; see MigrateRow.
-	BucketNamed = "claims"
+	BucketLegacy = "claims"
 )
 
 const (
@@ -39,7 +39,7 @@
 
 // Retention is how long a claim is kept. A request id that is used again
 // later may run again.
-const Horizon = 24 * time.Hour
+const Retention = 24 * time.Hour
 
 // MaxRows limits the claims that a keeper keeps in memory, at about 65 bytes
 // each. At the limit new claims are refused, because evicting an old claim
@@ -50,7 +50,7 @@
 // keeper with a new disk waits longer than this before it copies the other
 // keepers' rows, so that no attempt can count a grant that was lost with the
 // old disk.
-const ClaimTime = 2 * time.Second
+const ClaimTimeout = 2 * time.Second
 
 // Event is an input to Core.
 type Event interface{ isEvent() }
@@ -140,12 +140,12 @@
 }
 
 // MigrateRow converts a row from BucketLegacy to BucketClaims.
-func (c *Core) Move(name string, value []byte) ([]Action, error) {
+func (c *Core) MigrateRow(name string, value []byte) ([]Action, error) {
 	row := &messenger.ClaimRow{}
 	if err := proto.Unmarshal(value, row); err != nil {
 		return nil, err
 	}
-	out := []Action{Write{Bucket: BucketNamed, Key: name}}
+	out := []Action{Write{Bucket: BucketLegacy, Key: name}}
 	if !c.hasBetterRow(row) {
 		out = append(out, c.write(row))
 	}
@@ -154,7 +154,7 @@
 
 // IsFounder reports whether the given disk was new at the same time as this
 // one, and therefore has lost no votes.
-func (c *Core) Founded(store string) bool { return slices.Contains(c.founders, store) }
+func (c *Core) IsFounder(store string) bool { return slices.Contains(c.founders, store) }
 
 // Store returns the identity of the disk, or "" before SetStore.
 func (c *Core) Store() string { return c.store }
@@ -166,7 +166,7 @@
 func (c *Core) Len() int { return len(c.summaries) }
 
 // SetStore sets the identity of a new disk.
-func (c *Core) Name(store string) []Action {
+func (c *Core) SetStore(store string) []Action {
 	c.store = store
 	return []Action{Write{Bucket: BucketStore, Key: keyStore, Value: []byte(store)}}
 }
@@ -279,7 +279,7 @@
 
 func (c *Core) expire(now time.Time) []Action {
 	var old []Key
-	oldest := now.Add(-Horizon).UnixMilli()
+	oldest := now.Add(-Retention).UnixMilli()
 	for k, n := range c.summaries {
 		if n.writtenAtMS <= oldest {
 			old = append(old, k)
--- a/claimer/row_test.go
+++ b/claimer/row_test.go
@@ -78,25 +78,25 @@
 	}
 	value, err := proto.Marshal(row)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	d.rows[[2]string{claimer.BucketNamed, "w/id"}] = value
-	actions, err := d.core.Move("w/id", value)
+	d.rows[[2]string{claimer.BucketLegacy, "w/id"}] = value
+	actions, err := d.core.MigrateRow("w/id", value)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	d.apply(actions)
-	g.Expect(d.rows).NotTo(gomega.HaveKey([2]string{claimer.BucketNamed, "w/id"}))
+	g.Expect(d.rows).NotTo(gomega.HaveKey([2]string{claimer.BucketLegacy, "w/id"}))
 	w.restart(0)
 	row.State = messenger.ClaimState_CLAIM_STATE_LOST
 	value, err = proto.Marshal(row)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	actions, err = d.core.Move("w/id", value)
+	actions, err = d.core.MigrateRow("w/id", value)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(actions).To(gomega.HaveLen(1), "the row that says more stays")
 	row.State = messenger.ClaimState_CLAIM_STATE_DONE
 	r := d.claim(w.now, claimRequest("id", 2))
 	g.Expect(r.Verdict).To(gomega.Equal(messenger.ClaimVerdict_CLAIM_VERDICT_HELD))
 	g.Expect(proto.Equal(r.Row, row)).To(gomega.BeTrue())
-	d.apply(d.core.Step(w.now.Add(claimer.Horizon-time.Millisecond), claimer.Tick{}))
+	d.apply(d.core.Step(w.now.Add(claimer.Retention-time.Millisecond), claimer.Tick{}))
 	g.Expect(d.core.Len()).To(gomega.Equal(1))
-	d.apply(d.core.Step(w.now.Add(claimer.Horizon), claimer.Tick{}))
+	d.apply(d.core.Step(w.now.Add(claimer.Retention), claimer.Tick{}))
 	g.Expect(d.core.Len()).To(gomega.BeZero())
 	g.Expect(d.stored("w", "id")).To(gomega.BeNil())
 }
--- a/cmd/rattanhoist-node/main.go
+++ b/cmd/rattanhoist-node/main.go
@@ -84,10 +84,10 @@
 	}
 	if n.Kind() == loader.KindRouter {
 		c := courier.New(courier.Options{
-			Node: n, Log: log, Decode: platform.DecodeDocument, Wire: platform.Wire{},
-			Belongs: platform.Belongs, Kept: platform.Kept, ReadyPath: platform.ReadyPath,
+			Node: n, Log: log, Decode: platform.DecodeDocument, Wire: platform.HeaderCodec{},
+			ClassifyResponse: platform.ClassifyResponse, QueryCache: platform.QueryCache, ReadyPath: platform.ReadyPath,
 		})
-		go reload(ctx, n, log, c.Learn)
+		go reload(ctx, n, log, c.AddKeepers)
 		return c.Run(ctx)
 	}
 	s, cleanUp, err := steward.New(n, log)
@@ -95,8 +95,8 @@
 		return err
 	}
 	defer cleanUp()
-	go reload(ctx, n, log, s.Learn)
-	return s.Run(ctx, func(s *steward.Steward) http.Handler {
+	go reload(ctx, n, log, s.AddSeeds)
+	return s.Run(ctx, func(s *steward.Keeper) http.Handler {
 		return platform.NewControl(steward.NewControl(s, platform.DecodeDocument))
 	})
 }
--- a/commander/check.go
+++ b/commander/check.go
@@ -45,7 +45,7 @@
 
 func (a *app) warnOrFail(warnings []string, strict bool) error {
 	if strict && len(warnings) > 0 {
-		return merry.Errorf("%w:\n  %s", loader.ErrFaulty, strings.Join(warnings, "\n  "))
+		return merry.Errorf("%w:\n  %s", loader.ErrInvalidSettings, strings.Join(warnings, "\n  "))
 	}
 	for _, w := range warnings {
 		a.warn("%s", w)
--- a/commander/commander.go
+++ b/commander/commander.go
@@ -158,7 +158,7 @@
 		return ExitOK
 	case errors.Is(err, ErrOutcomeUnknown):
 		return ExitUnknown
-	case errors.Is(err, ErrUsage), errors.Is(err, ErrRefused), errors.Is(err, loader.ErrFaulty):
+	case errors.Is(err, ErrUsage), errors.Is(err, ErrRefused), errors.Is(err, loader.ErrInvalidSettings):
 		return ExitUsage
 	case errors.Is(err, ErrConflict):
 		return ExitConflict
--- a/commander/commander_test.go
+++ b/commander/commander_test.go
@@ -74,7 +74,7 @@
 		return nil, errLost
 	}
 	before := f.book.Version()
-	out, known := f.book.Peek(r.Change)
+	out, known := f.book.EarlyReply(r.Change)
 	if !known {
 		out = f.book.Decide(&messenger.LogChange{Change: r.Change})
 	}
--- a/commander/explain_logs.go
+++ b/commander/explain_logs.go
@@ -15,15 +15,15 @@
 	if err != nil {
 		return err
 	}
-	story := narrator.Story(all, id)
+	story := narrator.History(all, id)
 	if len(story) == 0 {
 		return merry.Errorf("no line of %d names request %q; routers write one for each request that they answer", len(all), id)
 	}
 	if a.output == outputJSON {
-		return a.printValue(append(narrator.Before(all, story), story...))
+		return a.printValue(append(narrator.StateBefore(all, story), story...))
 	}
 	var rows [][]any
-	for _, l := range append(narrator.Before(all, story), story...) {
+	for _, l := range append(narrator.StateBefore(all, story), story...) {
 		mark := "-"
 		if l.Own {
 			mark = id
--- a/commander/process_test.go
+++ b/commander/process_test.go
@@ -149,7 +149,7 @@
 			names[s.Name]++
 		}
 	}
-	for _, hop := range []string{tracer.HopRequest, tracer.HopAdmit, tracer.HopReserve, tracer.HopPick, tracer.HopDispatch, tracer.HopBill, tracer.HopHome} {
+	for _, hop := range []string{tracer.HopRequest, tracer.HopAdmit, tracer.HopReserve, tracer.HopPick, tracer.HopDispatch, tracer.HopBill, tracer.HopHandOver} {
 		f.g.Expect(names[hop]).To(gomega.BeNumerically(">=", 1), "span %s in %v", hop, names)
 	}
 	// Once as the router's call, once as served by the keeper.
--- a/committer/committer.go
+++ b/committer/committer.go
@@ -55,10 +55,10 @@
 func (s *State) Leader() string { return s.leader.Name }
 
 // IsLeader reports whether this keeper leads and knows everything that was committed.
-func (s *State) Leads() bool { return s.leads }
+func (s *State) IsLeader() bool { return s.leads }
 
 // IsVoter reports whether this keeper votes.
-func (s *State) Votes() bool { return s.voter }
+func (s *State) IsVoter() bool { return s.voter }
 
 // Founded reports whether the disk belongs to a deployment.
 func (s *State) Founded() bool { return s.deployment != "" }
@@ -89,15 +89,15 @@
 	// Send sends a message; it must not block.
 	Send func(*messenger.LogMessage)
 	// OnCommit is called in the loop after entries were applied and synced.
-	Committed func()
+	OnCommit func()
 	// Prepare encodes a request as the data of a log entry, just before it is proposed, or
 	// returns the answer of a request that needs no entry. It is called in the loop. Only
 	// ProposeRequest needs it.
 	Prepare func(request any) (data []byte, answer any, err error)
 	// StopOnWriteError makes Run return when a write fails, for a process that restarts
 	// from what is on the disk; otherwise the write is retried.
-	EndsOnRefusal bool
-	Log           *zap.Logger
+	StopOnWriteError bool
+	Log              *zap.Logger
 }
 
 // Loop runs the log of one keeper.
@@ -249,7 +249,7 @@
 			}
 			return nil
 		}
-		if l.options.EndsOnRefusal {
+		if l.options.StopOnWriteError {
 			return err
 		}
 		if failures == 0 {
@@ -268,7 +268,7 @@
 	old := l.state.Load()
 	s := &State{
 		applied: l.core.Commit(), confirmedAt: l.core.ConfirmedAt(), leader: l.core.Leader(),
-		leads: l.core.Ready(), voter: l.core.Voter(), deployment: l.core.Deployment(), term: l.core.Term(),
+		leads: l.core.Ready(), voter: l.core.IsVoter(), deployment: l.core.Deployment(), term: l.core.Term(),
 		changed: old.changed, voters: old.voters,
 	}
 	advanced := s.applied != old.applied
@@ -277,7 +277,7 @@
 	}
 	if advanced {
 		s.changed = make(chan struct{})
-		l.options.Committed()
+		l.options.OnCommit()
 	}
 	l.state.Store(s)
 	if advanced {
@@ -332,33 +332,33 @@
 
 // ProposeRequest commits the entry that Options.Prepare makes of a request and returns the
 // state machine's result, or the answer that Prepare returned without an entry.
-func (l *Loop) Ask(ctx context.Context, request any) (any, error) {
+func (l *Loop) ProposeRequest(ctx context.Context, request any) (any, error) {
 	o, err := l.submit(ctx, call{request: request})
 	return o.Result, err
 }
 
 // Inspect calls f between two events, when the whole state of the machine is synced. If
 // Inspect returns an error, f may still be called later.
-func (l *Loop) Look(ctx context.Context, f func()) error {
+func (l *Loop) Inspect(ctx context.Context, f func()) error {
 	_, err := l.submit(ctx, call{inspect: f})
 	return err
 }
 
 // QueueLength returns how many calls wait for the loop.
-func (l *Loop) Waiting() int { return len(l.calls) }
+func (l *Loop) QueueLength() int { return len(l.calls) }
 
 // Done returns a channel that is closed once the loop answers no more calls.
-func (l *Loop) Ended() <-chan struct{} { return l.ended }
+func (l *Loop) Done() <-chan struct{} { return l.ended }
 
 // ReadIndex returns an index that covers everything acknowledged before the call. A
 // majority confirms it after the call began.
-func (l *Loop) Confirm(ctx context.Context) (uint64, error) {
+func (l *Loop) ReadIndex(ctx context.Context) (uint64, error) {
 	o, err := l.submit(ctx, call{event: replicator.Read{}})
 	return o.Index, err
 }
 
 // WaitApplied waits until all entries up to an index are applied here.
-func (l *Loop) Reached(ctx context.Context, index uint64) error {
+func (l *Loop) WaitApplied(ctx context.Context, index uint64) error {
 	return WaitApplied(ctx, func() (uint64, <-chan struct{}) {
 		s := l.state.Load()
 		return s.applied, s.changed
--- a/committer/committer_test.go
+++ b/committer/committer_test.go
@@ -71,13 +71,13 @@
 		Core: replicator.Options{
 			Name: "a", Voters: 1, Timing: replicator.DefaultTiming(), Rand: rand.New(rand.NewPCG(1, 1)), Machine: &countingMachine{},
 		},
-		Store: d, Send: func(*messenger.LogMessage) {}, Committed: func() {}, Log: zap.NewNop(),
+		Store: d, Send: func(*messenger.LogMessage) {}, OnCommit: func() {}, Log: zap.NewNop(),
 	})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = l.Run(ctx) }()
-	g.Eventually(func() bool { return l.State().Leads() }, 5*time.Second).Should(gomega.BeTrue())
+	g.Eventually(func() bool { return l.State().IsLeader() }, 5*time.Second).Should(gomega.BeTrue())
 	out, err := l.Propose(ctx, []byte("x"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(out).To(gomega.Equal(1))
@@ -94,7 +94,7 @@
 		_, err := l.Propose(ctx, []byte("z"))
 		return err
 	}, 3*time.Second).Should(gomega.Succeed())
-	i, err := l.Confirm(ctx)
+	i, err := l.ReadIndex(ctx)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(l.Reached(ctx, i)).To(gomega.Succeed())
+	g.Expect(l.WaitApplied(ctx, i)).To(gomega.Succeed())
 }
--- a/committer/pending.go
+++ b/committer/pending.go
@@ -40,7 +40,7 @@
 	restorer := core.NewRestorer()
 	for _, b := range replicator.Buckets {
 		if err := store.Each(b, func(key string, value []byte) error {
-			restorer.Row(b, key, append([]byte(nil), value...))
+			restorer.AddRow(b, key, append([]byte(nil), value...))
 			return nil
 		}); err != nil {
 			return nil, err
@@ -122,11 +122,11 @@
 		switch a := a.(type) {
 		case replicator.Send:
 			p.Send(a.Message)
-		case replicator.Answered:
+		case replicator.ProposalCommitted:
 			d.complete(a.Ticket, Outcome{Result: a.Result})
-		case replicator.Confirmed:
+		case replicator.ReadConfirmed:
 			d.complete(a.Ticket, Outcome{Index: a.Index})
-		case replicator.Lost:
+		case replicator.OutcomeUnknown:
 			d.complete(a.Ticket, Outcome{Err: ErrOutcomeUnknown})
 		case replicator.Rejected:
 			d.complete(a.Ticket, Outcome{Err: ErrNotLeader})
--- a/configurer/book.go
+++ b/configurer/book.go
@@ -56,14 +56,14 @@
 
 // AcceptedVersion returns the version at which a change was accepted, or false
 // if the change ID is unknown, was rejected or is no longer retained.
-func (b *Book) Answered(changeID string) (uint64, bool) {
+func (b *Book) AcceptedVersion(changeID string) (uint64, bool) {
 	v, ok := b.history.answers[changeID]
 	return v, ok && v > 0
 }
 
 // ChangesSince returns the changes accepted after a version, or false if some
 // of them are no longer retained.
-func (b *Book) Since(version uint64) ([]*messenger.Change, bool) {
+func (b *Book) ChangesSince(version uint64) ([]*messenger.Change, bool) {
 	n := uint64(len(b.history.recent))
 	if version >= b.version {
 		return nil, true
@@ -99,14 +99,14 @@
 // every keeper: the change ID has a recorded reply, the base version is
 // outdated, or the change is invalid at its base version. Otherwise it returns
 // false.
-func (b *Book) Peek(c *messenger.Change) (*messenger.ProposeReply, bool) {
+func (b *Book) EarlyReply(c *messenger.Change) (*messenger.ProposeReply, bool) {
 	if v, ok := b.history.answers[c.ChangeId]; ok {
 		return b.reply(v, c), true
 	}
 	if c.BaseVersion < b.version {
 		return b.reply(0, c), true
 	}
-	if faults := b.Faults(c); c.BaseVersion == b.version && len(faults) > 0 {
+	if faults := b.Validate(c); c.BaseVersion == b.version && len(faults) > 0 {
 		return &messenger.ProposeReply{Outcome: messenger.ChangeOutcome_CHANGE_OUTCOME_REFUSED, Version: b.version, Faults: faults}, true
 	}
 	return nil, false
@@ -117,7 +117,7 @@
 	if version > 0 {
 		return &messenger.ProposeReply{Outcome: messenger.ChangeOutcome_CHANGE_OUTCOME_ACCEPTED, Version: version}
 	}
-	since, _ := b.Since(c.BaseVersion)
+	since, _ := b.ChangesSince(c.BaseVersion)
 	return &messenger.ProposeReply{Outcome: messenger.ChangeOutcome_CHANGE_OUTCOME_CONFLICT, Version: b.version, Since: since}
 }
 
--- a/configurer/book_test.go
+++ b/configurer/book_test.go
@@ -31,7 +31,7 @@
 	g := gomega.NewWithT(t)
 	b := configurer.NewBook()
 	b.Apply(change("a", 0, putWorkspace("w", 1)).Change)
-	faults := b.Faults(change("", 1,
+	faults := b.Validate(change("", 1,
 		putWorkspace("Bad Name", 2),
 		putWorkspace("other", 1),
 		putStatement("s", "a=x,!a"),
@@ -50,7 +50,7 @@
 		g.Expect(faults).To(gomega.ContainElement(gomega.HavePrefix(want)))
 	}
 	g.Expect(faults).To(gomega.HaveLen(11))
-	g.Expect(b.Faults(change("b", 1, putWorkspace("w", 3), putWorkspace("other", 1)).Change)).To(gomega.BeEmpty())
+	g.Expect(b.Validate(change("b", 1, putWorkspace("w", 3), putWorkspace("other", 1)).Change)).To(gomega.BeEmpty())
 }
 
 // TestFirstAnswerStays guards against a resent change getting a different reply
@@ -85,7 +85,7 @@
 func TestHorizonNeverCountsTwice(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := configurer.NewBook()
-	for i := range configurer.AnswerHorizon + 2 {
+	for i := range configurer.MaxAnswers + 2 {
 		b.Decide(change(fmt.Sprint(i), b.Version(), putWorkspace("w", byte(i))))
 	}
 	v := b.Version()
@@ -131,7 +131,7 @@
 	k := large()
 	c := change("x", k.Version(), putWorkspace("workspace-7", 9)).Change
 	for b.Loop() {
-		k.Faults(c)
+		k.Validate(c)
 	}
 }
 
@@ -156,7 +156,7 @@
 	c := change("x", k.Version(), putWorkspace("workspace-7", 9)).Change
 	start := time.Now()
 	for range 100 {
-		k.Faults(c)
+		k.Validate(c)
 	}
 	if d := time.Since(start) / 100; d > 10*time.Millisecond {
 		t.Fatalf("one check took %s", d)
--- a/configurer/faults.go
+++ b/configurer/faults.go
@@ -31,7 +31,7 @@
 // Validate returns all validation errors of a change, each with the path of its
 // field. Its cost depends on the objects that the change names, not on the size
 // of the configuration.
-func (b *Book) Faults(c *messenger.Change) []string {
+func (b *Book) Validate(c *messenger.Change) []string {
 	f := &validator{book: b, workspaces: map[string]*messenger.Workspace{}, services: map[string]*messenger.Service{}, statements: map[string]bool{}}
 	if c.ChangeId == "" || len(c.ChangeId) > maxChangeIDLength {
 		f.add("change_id", "want 1 to %d characters, got %d", maxChangeIDLength, len(c.ChangeId))
--- a/configurer/history.go
+++ b/configurer/history.go
@@ -12,7 +12,7 @@
 	// 6 days at 3,200 changes a day. An older change that is sent again gets a
 	// conflict because its base version is outdated, so it is never applied
 	// twice.
-	AnswerHorizon = 20000
+	MaxAnswers = 20000
 	// maxRecentChanges and maxRecentBytes limit the changes retained for sending
 	// deltas to subscribers.
 	maxRecentChanges = 2048
@@ -37,7 +37,7 @@
 func (h *history) recordAnswer(id string, version uint64) {
 	h.answers[id] = version
 	h.order = append(h.order, id)
-	if len(h.order) > AnswerHorizon {
+	if len(h.order) > MaxAnswers {
 		delete(h.answers, h.order[0])
 		h.order = h.order[1:]
 	}
--- a/configurer/snapshot.go
+++ b/configurer/snapshot.go
@@ -118,7 +118,7 @@
 
 // HasNonRepeatableModel reports whether any model service forbids repeating its
 // requests.
-func (s *Snapshot) ChatsMayBeOnce() bool {
+func (s *Snapshot) HasNonRepeatableModel() bool {
 	for _, v := range s.byModel {
 		if v.NotRepeatable {
 			return true
--- a/courier/borrower.go
+++ b/courier/borrower.go
@@ -238,7 +238,7 @@
 	defer r.mu.Unlock()
 	var out []*messenger.PrepaidTotal
 	for _, w := range slices.Sorted(maps.Keys(r.purses)) {
-		if n := r.purses[w].Lack(now, connected); n > 0 {
+		if n := r.purses[w].TokensToBorrow(now, connected); n > 0 {
 			out = append(out, &messenger.PrepaidTotal{Workspace: w, Tokens: n})
 		}
 	}
--- a/courier/cache_query.go
+++ b/courier/cache_query.go
@@ -26,7 +26,7 @@
 // caches are empty and are not queried.
 func (f *fleetView) queryCaches(ctx context.Context) {
 	x := f.index.Load()
-	if f.options.Kept == nil || x == nil || f.options.Node.FirstStart() || time.Since(f.startedAt) > cacheQueryWindow {
+	if f.options.QueryCache == nil || x == nil || f.options.Node.FirstStart() || time.Since(f.startedAt) > cacheQueryWindow {
 		return
 	}
 	for _, e := range f.enginesToQuery(x) {
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithTimeout(ctx, cacheQueryTimeout)
 	defer cancel()
 	sentAt := time.Now()
-	parts, state, err := f.options.Kept(ctx, e.Beat().Address)
+	parts, state, err := f.options.QueryCache(ctx, e.Beat().Address)
 	if state != nil {
 		f.Observe(e, *state, sentAt)
 	}
@@ -72,6 +72,6 @@
 		f.options.Log.Warn("prefix cache query failed", zap.String("endpoint", e.Name()), zap.Error(err))
 		return
 	}
-	e.Keeps(parts)
+	e.AddCachedParts(parts)
 	f.options.Log.Info("endpoint keeps", zap.String("endpoint", e.Name()), zap.Int("parts", len(parts)))
 }
--- a/courier/cache_query_test.go
+++ b/courier/cache_query_test.go
@@ -35,7 +35,7 @@
 			}
 			add := func(zone string, n int) {
 				for i := range n {
-					b := enroller.Beat{Incarnation: enroller.Incarnation{ID: zone + strconv.Itoa(i)}, Service: "llm", Zone: zone}
+					b := enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: zone + strconv.Itoa(i)}, Service: "llm", Zone: zone}
 					f.endpoints[b.Incarnation] = predictor.NewEndpoint(b)
 				}
 			}
--- a/courier/cluster_test.go
+++ b/courier/cluster_test.go
@@ -84,7 +84,7 @@
 	}
 	f.run(fmt.Sprint("keeper", n), func(ctx context.Context) error {
 		defer cleanUp()
-		return s.Run(ctx, func(s *steward.Steward) http.Handler {
+		return s.Run(ctx, func(s *steward.Keeper) http.Handler {
 			return platform.NewControl(steward.NewControl(s, platform.DecodeDocument))
 		})
 	})
@@ -92,8 +92,8 @@
 
 func (f *cluster) router(n int) {
 	c := courier.New(courier.Options{
-		Node: f.node(loader.KindRouter, n, false), Log: zap.NewNop(), Decode: platform.DecodeDocument, Wire: platform.Wire{},
-		Belongs: platform.Belongs, ReadyPath: platform.ReadyPath,
+		Node: f.node(loader.KindRouter, n, false), Log: zap.NewNop(), Decode: platform.DecodeDocument, Wire: platform.HeaderCodec{},
+		ClassifyResponse: platform.ClassifyResponse, ReadyPath: platform.ReadyPath,
 	})
 	f.run(fmt.Sprint("router", n), c.Run)
 }
--- a/courier/counters.go
+++ b/courier/counters.go
@@ -23,7 +23,7 @@
 var endpointCrashes = metrics.NewCounter("rattanhoist_endpoints_ended_total")
 
 // registerGauges registers the gauges of a router. There is one router per process.
-func (c *Courier) registerGauges() {
+func (c *Router) registerGauges() {
 	metrics.GetOrCreateGauge("rattanhoist_requests_active", func() float64 { return float64(c.activeRequests.Load()) })
 	metrics.GetOrCreateGauge("rattanhoist_connections_opened", func() float64 { return float64(c.connectionsOpened.Load()) })
 	metrics.GetOrCreateGauge("rattanhoist_keeper_silence_seconds", func() float64 { return c.fleet.sinceContact().Seconds() })
--- a/courier/courier.go
+++ b/courier/courier.go
@@ -57,17 +57,17 @@
 	Wire   forwarder.Wire
 	// ClassifyResponse reports whether a response header carries the given request id,
 	// another id, or none.
-	Belongs func(http.Header, string) pooler.Belonging
+	ClassifyResponse func(http.Header, string) pooler.AnswerMatch
 	// QueryCache asks the endpoint at an address which prompt parts its prefix
 	// cache holds. It also returns the state that the endpoint reports, which is
 	// nil only if there was no response.
-	Kept func(context.Context, string) ([]predictor.Part, *predictor.State, error)
+	QueryCache func(context.Context, string) ([]predictor.Part, *predictor.State, error)
 	// ReadyPath is the path of the platform's readiness probe.
 	ReadyPath string
 }
 
 // Router is one router process.
-type Courier struct {
+type Router struct {
 	Options
 	incarnation uint64
 	startedAt   time.Time
@@ -84,10 +84,10 @@
 }
 
 // New returns a router that Run starts.
-func New(o Options) *Courier {
-	c := &Courier{Options: o, startedAt: time.Now(), incarnation: newIncarnation()}
+func New(o Options) *Router {
+	c := &Router{Options: o, startedAt: time.Now(), incarnation: newIncarnation()}
 	table := predictor.NewTable(o.Node.Zone())
-	c.pool = pooler.New(o.Belongs, func() { c.connectionsOpened.Add(1) })
+	c.pool = pooler.New(o.ClassifyResponse, func() { c.connectionsOpened.Add(1) })
 	c.admission = shaper.NewAdmission(o.Node.LinkRate(), &c.lag)
 	c.pool.UseLink(c.admission)
 	c.fleet = newFleetView(o, c.incarnation, table, c.pool)
@@ -95,8 +95,8 @@
 	c.rights = newRights(c.fleet, o.Node.Internal(), o.Log)
 	c.fleet.onDocument = c.rights.updateTotals
 	c.registerGauges()
-	ratio, slack, window := o.Node.Retries()
-	c.handler = forwarder.New(forwarder.Parts{
+	ratio, slack, window := o.Node.RetryLimit()
+	c.handler = forwarder.New(forwarder.Dependencies{
 		Wire: o.Wire, Fleet: c.fleet, Table: table, Pool: c.pool, Rights: c.rights, Log: o.Log,
 		Quarantine: c.fleet.quarantine, Admission: c.admission,
 		Limiter: limiter.New(limiter.Budget{Ratio: ratio, Slack: slack, Window: window}, time.Now()),
@@ -113,14 +113,14 @@
 }
 
 // AddKeepers adds keeper addresses from changed settings.
-func (c *Courier) Learn(seeds []string) {
+func (c *Router) AddKeepers(seeds []string) {
 	for _, s := range seeds {
 		c.fleet.addKeeper(s, "")
 	}
 }
 
 // Run serves callers until ctx is done, and then drains the requests in progress.
-func (c *Courier) Run(ctx context.Context) error {
+func (c *Router) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	front, err := net.Listen("tcp", c.Node.Serve())
@@ -176,7 +176,7 @@
 }
 
 // drain waits until no requests are active, for at most the grace period less exitMargin.
-func (c *Courier) drain() {
+func (c *Router) drain() {
 	c.Log.Info("router stops", zap.Int64("active", c.activeRequests.Load()))
 	begun := time.Now()
 	c.drainingSince.Store(int64(time.Since(c.startedAt)))
@@ -190,7 +190,7 @@
 }
 
 // drainDuration returns how long ago the process was told to stop, or 0.
-func (c *Courier) drainDuration() time.Duration {
+func (c *Router) drainDuration() time.Duration {
 	at := c.drainingSince.Load()
 	if at == 0 {
 		return 0
@@ -199,7 +199,7 @@
 }
 
 // handleCaller forwards a request of a caller, unless the router is about to stop.
-func (c *Courier) handleCaller(w http.ResponseWriter, r *http.Request) {
+func (c *Router) handleCaller(w http.ResponseWriter, r *http.Request) {
 	c.activeRequests.Add(1)
 	defer c.activeRequests.Add(-1)
 	if d := c.drainDuration(); d > 0 {
@@ -216,14 +216,14 @@
 
 // handleReady answers the readiness probe: the router is not ready without a current document,
 // while it sheds load, and while it drains.
-func (c *Courier) handleReady(w http.ResponseWriter, _ *http.Request) {
+func (c *Router) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if c.fleet.Index() == nil || c.fleet.outdated() || c.fleet.shedding.active() || c.drainDuration() > 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
 // sweepPool regularly closes idle connections to endpoints until ctx is done.
-func (c *Courier) sweepPool(ctx context.Context) {
+func (c *Router) sweepPool(ctx context.Context) {
 	t := time.NewTicker(poolSweepInterval)
 	defer t.Stop()
 	for {
@@ -231,7 +231,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			c.pool.Sweep(time.Now())
+			c.pool.CloseExpired(time.Now())
 		}
 	}
 }
--- a/courier/dispatch_notifier.go
+++ b/courier/dispatch_notifier.go
@@ -84,8 +84,8 @@
 		d := &messenger.Dispatched{}
 		// Datagrams that don't parse are ignored.
 		if proto.Unmarshal(b[:size], d) == nil && d.Unread > 0 {
-			n.fleet.table.Sent(time.Now(), d.Endpoint, predictor.Dispatch{
-				Unread: d.Unread, Takes: time.Duration(d.TakesUs) * time.Microsecond, Parts: d.Parts,
+			n.fleet.table.RecordDispatch(time.Now(), d.Endpoint, predictor.Dispatch{
+				UncachedTokens: d.Unread, PrefillTime: time.Duration(d.TakesUs) * time.Microsecond, Parts: d.Parts,
 			})
 		}
 	}
--- a/courier/document.go
+++ b/courier/document.go
@@ -120,13 +120,13 @@
 // outdated reports whether a newer document has been known for so long that the one in
 // force may no longer be used for requests.
 func (f *fleetView) outdated() bool {
-	return f.announcements.age(time.Now()) > time.Duration(maxOutdatedFraction*float64(f.options.Node.Apply()))
+	return f.announcements.age(time.Now()) > time.Duration(maxOutdatedFraction*float64(f.options.Node.ApplyTimeout()))
 }
 
-// Await returns the document in force, or nil if it is outdated. Before the first document it
+// AwaitConfiguration returns the document in force, or nil if it is outdated. Before the first document it
 // waits, at most until firstDocumentWait after the start of the router. If there is none by then,
 // it returns the time after which one is expected, when an unconfirmed document is accepted.
-func (f *fleetView) Await(ctx context.Context) (*publisher.Index, time.Duration) {
+func (f *fleetView) AwaitConfiguration(ctx context.Context) (*publisher.Index, time.Duration) {
 	if x := f.index.Load(); x != nil {
 		if f.outdated() {
 			outdatedRefusals.Inc()
@@ -206,7 +206,7 @@
 
 // decode unpacks and decodes the content of a document.
 func (f *fleetView) decode(packed []byte) (*publisher.Document, error) {
-	b, err := publisher.Unpack(packed)
+	b, err := publisher.Decompress(packed)
 	if err != nil {
 		return nil, err
 	}
--- a/courier/document_test.go
+++ b/courier/document_test.go
@@ -19,7 +19,7 @@
 		o.Decode = func([]byte) (*publisher.Document, error) { return &publisher.Document{Number: k.number()}, nil }
 	}, serveStub(t, k))
 	held := func() uint64 {
-		x, _ := f.Await(context.Background())
+		x, _ := f.AwaitConfiguration(context.Background())
 		if x == nil {
 			return 0
 		}
@@ -28,7 +28,7 @@
 	g.Eventually(held, 5*time.Second, 10*time.Millisecond).Should(gomega.Equal(uint64(1)))
 	k.fetch.Store(int64(time.Minute))
 	k.numberOffset.Store(1)
-	time.Sleep(f.options.Node.Apply())
+	time.Sleep(f.options.Node.ApplyTimeout())
 	g.Expect(held()).To(gomega.BeZero())
 	g.Consistently(held, time.Second, 10*time.Millisecond).Should(gomega.BeZero())
 	k.fetch.Store(0)
--- a/courier/endpoint.go
+++ b/courier/endpoint.go
@@ -37,7 +37,7 @@
 		if s.Leaving {
 			continue
 		}
-		b, _ := enroller.BeatOf(s)
+		b, _ := enroller.HeartbeatFromSighting(s)
 		e := f.endpoints[b.Incarnation]
 		if e == nil {
 			e = predictor.NewEndpoint(b)
@@ -58,12 +58,12 @@
 			continue
 		}
 		delete(f.endpoints, i)
-		if n, ok := f.registered.Known(i.ID); ok && n != i {
+		if n, ok := f.registered.Current(i.ID); ok && n != i {
 			// The process of this incarnation has ended. If no TCP reset arrives from
 			// there, its requests would wait until their deadlines.
-			f.pool.End(i.String())
+			f.pool.CloseAll(i.String())
 		} else {
-			f.pool.Forget(i.String())
+			f.pool.CloseIdle(i.String())
 		}
 		changes.removed(i)
 	}
@@ -81,7 +81,7 @@
 }
 
 // added records and logs an endpoint that came into service.
-func (c *endpointChanges) added(b enroller.Beat) {
+func (c *endpointChanges) added(b enroller.Heartbeat) {
 	if c.addedCount++; c.addedCount <= maxEndpointLogLines {
 		c.log.Info("endpoint in service", zap.Stringer("endpoint", b), zap.String("service", b.Service), zap.String("zone", b.Zone))
 	}
--- a/courier/endpoint_leaving_test.go
+++ b/courier/endpoint_leaving_test.go
@@ -25,7 +25,7 @@
 	f := startFleet(t, serveStub(t, k))
 	g.Eventually(func() []string { return inService(f) }, 4*time.Second, 10*time.Millisecond).Should(gomega.ConsistOf("a", "b"))
 	f.Observe(f.table.Endpoint("a"), predictor.State{Leaving: true}, time.Now())
-	w := f.table.Choose(time.Now(), predictor.Ask{Service: "s"})
+	w := f.table.Choose(time.Now(), predictor.Request{Service: "s"})
 	g.Expect(w.Endpoint().Name()).To(gomega.Equal("b"), "excluded immediately")
 	g.Eventually(func() []string { return inService(f) }, time.Second, 10*time.Millisecond).Should(gomega.ConsistOf("b"))
 	storeSightings(2)
--- a/courier/fleet.go
+++ b/courier/fleet.go
@@ -217,7 +217,7 @@
 	f.shedding.observe(r.ZoneLoad)
 	f.fetchIfNewer(ctx, l, r.Number)
 	for _, l := range r.Left {
-		f.registered.Leave(now, enroller.LeaveOf(l))
+		f.registered.Leave(now, enroller.IncarnationFromLeave(l))
 	}
 	f.warmup.applyLimits(now, f)
 	return listed
--- a/courier/fleet_test.go
+++ b/courier/fleet_test.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k.content, err = publisher.Pack([]byte("{}")); err != nil {
+	if k.content, err = publisher.Compress([]byte("{}")); err != nil {
 		t.Fatal(err)
 	}
 	s := messenger.NewFleetServer()
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	decode := func([]byte) (*publisher.Document, error) { return &publisher.Document{Number: 1}, nil }
-	belongs := func(http.Header, string) pooler.Belonging { return pooler.Own }
+	belongs := func(http.Header, string) pooler.AnswerMatch { return pooler.MatchOwn }
 	o := Options{Node: n, Log: zap.NewNop(), Decode: decode}
 	change(&o)
 	f := newFleetView(o, 1, predictor.NewTable("z"), pooler.New(belongs, func() {}))
@@ -383,7 +383,7 @@
 	g.Eventually(names, 3*time.Second, 10*time.Millisecond).Should(gomega.Equal([]string{"e@1"}))
 	ended := make(chan error, 1)
 	go func() {
-		_, err := f.pool.Exchange(t.Context(), pooler.Target{ID: "e@1", Address: listener.Addr().String(), Most: 1}, &pooler.Request{Method: "GET", URI: "/", ID: "r"})
+		_, err := f.pool.Exchange(t.Context(), pooler.Target{ID: "e@1", Address: listener.Addr().String(), MaxConnections: 1}, &pooler.Request{Method: "GET", URI: "/", ID: "r"})
 		ended <- err
 	}()
 	g.Consistently(ended, 300*time.Millisecond).ShouldNot(gomega.Receive())
@@ -409,7 +409,7 @@
 		o.Decode = func([]byte) (*publisher.Document, error) {
 			return &publisher.Document{Number: 1, Services: []publisher.Service{{Name: "s", Engine: &publisher.Engine{Slots: 8}}, {Name: "plain"}}}, nil
 		}
-		o.Kept = func(_ context.Context, address string) ([]predictor.Part, *predictor.State, error) {
+		o.QueryCache = func(_ context.Context, address string) ([]predictor.Part, *predictor.State, error) {
 			asked.Add(1)
 			if address != "10.0.0.1:1" {
 				return nil, nil, fmt.Errorf("%s is no engine", address)
@@ -417,12 +417,12 @@
 			return []predictor.Part{{ID: "part", Tokens: 5_000}}, &predictor.State{}, nil
 		}
 	}, serveStub(t, k))
-	p := &predictor.Prompt{In: 6_000, Out: 10, Parts: []predictor.Part{{ID: "part", Tokens: 5_000}, {ID: "own", Tokens: 1_000}}}
+	p := &predictor.Prompt{InputTokens: 6_000, MaxOutputTokens: 10, Parts: []predictor.Part{{ID: "part", Tokens: 5_000}, {ID: "own", Tokens: 1_000}}}
 	g.Eventually(asked.Load, 4*time.Second, 10*time.Millisecond).Should(gomega.Equal(int64(1)))
 	g.Consistently(asked.Load, time.Second).Should(gomega.Equal(int64(1)))
-	w := f.table.Choose(time.Now(), predictor.Ask{Service: "s", Prompt: p})
+	w := f.table.Choose(time.Now(), predictor.Request{Service: "s", Prompt: p})
 	defer w.End()
-	g.Expect(w.Unread()).To(gomega.Equal(int64(1_000)))
+	g.Expect(w.UncachedTokens()).To(gomega.Equal(int64(1_000)))
 }
 
 // Guards against callers that are refused for good because routers and keepers start at the
@@ -433,7 +433,7 @@
 	k := &keeperStub{}
 	k.fetch.Store(int64(400 * time.Millisecond))
 	f := startFleet(t, serveStub(t, k))
-	x, _ := f.Await(t.Context())
+	x, _ := f.AwaitConfiguration(t.Context())
 	g.Expect(x).NotTo(gomega.BeNil())
 	g.Expect(x.Number()).To(gomega.Equal(uint64(1)))
 }
@@ -443,12 +443,12 @@
 func TestCallersDoNotWaitForUnreachableKeepers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := startFleet(t)
-	x, after := f.Await(t.Context())
+	x, after := f.AwaitConfiguration(t.Context())
 	g.Expect(x).To(gomega.BeNil())
 	g.Expect(time.Since(f.startedAt)).To(gomega.BeNumerically("~", firstDocumentWait, 200*time.Millisecond))
 	g.Expect(after).To(gomega.BeNumerically("~", unconfirmedDelay-firstDocumentWait, 200*time.Millisecond))
 	begun := time.Now()
-	x, _ = f.Await(t.Context())
+	x, _ = f.AwaitConfiguration(t.Context())
 	g.Expect(x).To(gomega.BeNil())
 	g.Expect(time.Since(begun)).To(gomega.BeNumerically("<", 50*time.Millisecond))
 }
--- a/courier/liveness.go
+++ b/courier/liveness.go
@@ -45,7 +45,7 @@
 }
 
 // connectionBroken records a request that counts as a crash if the endpoint has ended.
-func (l *livenessChecks) connectionBroken(b enroller.Beat, c quarantiner.Crash) {
+func (l *livenessChecks) connectionBroken(b enroller.Heartbeat, c quarantiner.Crash) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	list, checking := l.pending[b.Incarnation]
@@ -56,7 +56,7 @@
 }
 
 // check probes an endpoint, and reports the requests that failed there if it has ended.
-func (l *livenessChecks) check(b enroller.Beat) {
+func (l *livenessChecks) check(b enroller.Heartbeat) {
 	time.Sleep(gatherDelay)
 	refused := refusesConnections(b.Address)
 	l.mu.Lock()
--- a/courier/owner.go
+++ b/courier/owner.go
@@ -115,7 +115,7 @@
 // because it is the owner or because no owner answers.
 func (r *rights) reserveInZone(ctx context.Context, workspace string, tokens int64, scope messenger.RightsScope) (res *reservation, done bool, err error) {
 	p, _, _ := r.purse(workspace)
-	if p.TakeHeld(time.Now(), tokens) {
+	if p.TryReserve(time.Now(), tokens) {
 		return &reservation{purse: p, tokens: tokens}, true, nil
 	}
 	for _, l := range r.owners.ahead(time.Now(), workspace) {
@@ -141,24 +141,24 @@
 }
 
 // acceptLoan converts the reply of another router to a reservation or an error.
-func acceptLoan(p *allotter.Purse, tokens int64, reply *messenger.ReserveRightsReply) (*reservation, error) {
+func acceptLoan(p *allotter.Allocation, tokens int64, reply *messenger.ReserveRightsReply) (*reservation, error) {
 	switch {
 	case reply.Lent >= tokens:
 		borrowedTokens.AddInt64(reply.Lent)
-		p.Borrow(tokens)
+		p.ReceiveReserved(tokens)
 		return &reservation{purse: p, tokens: tokens}, nil
 	case reply.Spent:
 		rightsSpent.Inc()
 		return nil, forwarder.ErrSpent
 	}
 	rightsOutOfReach.Inc()
-	return nil, forwarder.OutOfReach{After: time.Duration(reply.RetryAfterMs) * time.Millisecond}
+	return nil, forwarder.RightsUnavailable{After: time.Duration(reply.RetryAfterMs) * time.Millisecond}
 }
 
 // borrowFromOtherZones asks one router of each other zone, two at a time. Each of them asks
 // the owner in its own zone. It reports whether one lent the tokens, which are then
 // reserved. If a second router lends tokens too, they serve later requests here.
-func (r *rights) borrowFromOtherZones(ctx context.Context, p *allotter.Purse, workspace string, tokens int64) bool {
+func (r *rights) borrowFromOtherZones(ctx context.Context, p *allotter.Allocation, workspace string, tokens int64) bool {
 	for peers := range slices.Chunk(r.fleet.remotePeers(), 2) {
 		answers := make(chan bool, len(peers))
 		for _, l := range peers {
@@ -167,7 +167,7 @@
 		for range peers {
 			select {
 			case lent := <-answers:
-				if lent && p.TakeHeld(time.Now(), tokens) {
+				if lent && p.TryReserve(time.Now(), tokens) {
 					return true
 				}
 			case <-ctx.Done():
@@ -180,7 +180,7 @@
 
 // borrowFromPeer asks a router of another zone. Tokens that arrive too late for the request
 // serve other requests.
-func (r *rights) borrowFromPeer(ctx context.Context, l *messenger.Link, p *allotter.Purse, workspace string, tokens int64) bool {
+func (r *rights) borrowFromPeer(ctx context.Context, l *messenger.Link, p *allotter.Allocation, workspace string, tokens int64) bool {
 	q := &messenger.ReserveRightsRequest{Workspace: workspace, Tokens: tokens, Scope: messenger.RightsScope_RIGHTS_SCOPE_ZONE}
 	reply, err := l.ReserveRights(context.WithoutCancel(ctx), otherZoneTimeout, q)
 	if err != nil || reply.Lent < tokens {
@@ -205,7 +205,7 @@
 		return &messenger.ReserveRightsReply{Lent: q.Tokens}, nil
 	}
 	out := &messenger.ReserveRightsReply{Spent: errors.Is(err, forwarder.ErrSpent)}
-	var o forwarder.OutOfReach
+	var o forwarder.RightsUnavailable
 	if errors.As(err, &o) {
 		out.RetryAfterMs = o.After.Milliseconds()
 	}
@@ -222,7 +222,7 @@
 	others := q.Scope == messenger.RightsScope_RIGHTS_SCOPE_FLEET
 	if p, _, _ := r.purse(q.Workspace); !others && !p.Holds(q.Tokens) {
 		// The asking router has already tried the keepers, or can't reach them.
-		return nil, forwarder.OutOfReach{}
+		return nil, forwarder.RightsUnavailable{}
 	}
 	return r.reserveLocally(ctx, q.Workspace, q.Tokens, others)
 }
@@ -238,7 +238,7 @@
 			continue
 		}
 		p, _, _ := r.purse(w)
-		if n := p.RestAbove(now, minReturn); n > 0 {
+		if n := p.TakeIdle(now, minReturn); n > 0 {
 			q := requests[owners[0]]
 			if q == nil {
 				q = &messenger.LeaveRightsRequest{}
@@ -262,7 +262,7 @@
 	defer r.mu.Unlock()
 	var out []string
 	for w, p := range r.purses {
-		if !p.Known() {
+		if !p.ClaimAnswered() {
 			out = append(out, w)
 		}
 	}
--- a/courier/peers.go
+++ b/courier/peers.go
@@ -95,15 +95,15 @@
 	return (*c)[""]
 }
 
-// Dispatched notifies other routers of a prompt sent to an endpoint of a zone.
-func (f *fleetView) Dispatched(endpoint, zone string, d predictor.Dispatch) {
+// AnnounceDispatch notifies other routers of a prompt sent to an endpoint of a zone.
+func (f *fleetView) AnnounceDispatch(endpoint, zone string, d predictor.Dispatch) {
 	if n := f.notifier.Load(); n != nil {
-		n.notify(f.notifyTargets(zone), &messenger.Dispatched{Endpoint: endpoint, Unread: d.Unread, Parts: d.Parts, TakesUs: d.Takes.Microseconds()})
+		n.notify(f.notifyTargets(zone), &messenger.Dispatched{Endpoint: endpoint, Unread: d.UncachedTokens, Parts: d.Parts, TakesUs: d.PrefillTime.Microseconds()})
 	}
 }
 
-// Partial reports whether there are more routers than each of them notifies.
-func (f *fleetView) Partial() bool { return f.Routers() > maxNotifiedPeers+1 }
+// PartialDispatches reports whether there are more routers than each of them notifies.
+func (f *fleetView) PartialDispatches() bool { return f.Routers() > maxNotifiedPeers+1 }
 
 // allPeers returns the other routers, those of this router's zone first. Callers must not
 // change the list.
--- a/courier/peers_test.go
+++ b/courier/peers_test.go
@@ -39,5 +39,5 @@
 			g.Expect(zones[a.String()] == zone).To(gomega.Equal(i < inside), "dispatch to %s, place %d", zone, i)
 		}
 	}
-	g.Expect(f.Partial()).To(gomega.BeTrue())
+	g.Expect(f.PartialDispatches()).To(gomega.BeTrue())
 }
--- a/courier/quarantine.go
+++ b/courier/quarantine.go
@@ -54,10 +54,10 @@
 	held atomic.Pointer[heldRequests]
 
 	mu       sync.Mutex
-	answered quarantiner.Recent
+	answered quarantiner.AnsweredRequests
 	// local evaluates the crashes that this router saw, so that it protects endpoints while
 	// no keeper can be reached.
-	local *quarantiner.Register
+	local *quarantiner.CrashTracker
 	// recent holds the latest crashes, oldest first. dropped counts the crashes that have been
 	// removed from it. reported counts those that keepers have received, dropped ones included.
 	recent            []quarantiner.Crash
@@ -70,14 +70,14 @@
 }
 
 func newQuarantine(log *zap.Logger) *quarantine {
-	q := &quarantine{log: log, local: quarantiner.NewRegister(localHoldDuration)}
+	q := &quarantine{log: log, local: quarantiner.NewCrashTracker(localHoldDuration)}
 	q.held.Store(&heldRequests{})
 	q.livenessChecks = newLivenessChecks(log, q.recordCrashes)
 	return q
 }
 
-// Held returns the remaining time for which a request is held back, or 0.
-func (q *quarantine) Held(f quarantiner.Fingerprint) time.Duration {
+// HeldFor returns the remaining time for which a request is held back, or 0.
+func (q *quarantine) HeldFor(f quarantiner.Fingerprint) time.Duration {
 	until, ok := q.held.Load().until[f]
 	if !ok {
 		return 0
@@ -85,21 +85,21 @@
 	return max(time.Until(until), 0)
 }
 
-// Answered records that an endpoint answered a request completely.
-func (q *quarantine) Answered(f quarantiner.Fingerprint) {
+// RecordSuccess records that an endpoint answered a request completely.
+func (q *quarantine) RecordSuccess(f quarantiner.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.answered.Add(f)
-	if (q.local.Suspects(f) || q.Held(f) > 0) && !slices.Contains(q.cleared, f) && len(q.cleared) < maxReported {
+	if (q.local.IsSuspect(f) || q.HeldFor(f) > 0) && !slices.Contains(q.cleared, f) && len(q.cleared) < maxReported {
 		q.cleared = append(q.cleared, f)
 		q.local.Clear(f)
 	}
 }
 
-// BrokenOff records that the connection of a request in progress ended before its response did.
-func (q *quarantine) BrokenOff(e *predictor.Endpoint, f quarantiner.Fingerprint, underway time.Duration) {
+// RecordBrokenOff records that the connection of a request in progress ended before its response did.
+func (q *quarantine) RecordBrokenOff(e *predictor.Endpoint, f quarantiner.Fingerprint, underway time.Duration) {
 	q.livenessChecks.connectionBroken(e.Beat(), quarantiner.Crash{
-		Request: f, Endpoint: e.Beat().Incarnation, At: time.Now(), Underway: underway,
+		Request: f, Endpoint: e.Beat().Incarnation, At: time.Now(), Elapsed: underway,
 	})
 }
 
@@ -110,7 +110,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, c := range list {
-		if !q.answered.Has(c.Request) && q.local.Hear(now, c) {
+		if !q.answered.Has(c.Request) && q.local.Add(now, c) {
 			q.recent = append(q.recent, c)
 		}
 	}
@@ -129,7 +129,7 @@
 // requests were in progress at the endpoints that ended.
 func (q *quarantine) holdLocal(now time.Time) {
 	q.mu.Lock()
-	due := q.local.Due(now)
+	due := q.local.ToQuarantine(now)
 	q.mu.Unlock()
 	q.hold(now, 0, due, func(int) time.Duration { return localHoldDuration })
 }
@@ -151,7 +151,7 @@
 		}
 	}
 	for _, f := range q.cleared {
-		r.Answered = append(r.Answered, f.Content())
+		r.Answered = append(r.Answered, f.Message())
 	}
 	return crashReport{crashes: q.reported + len(r.Crashes), cleared: len(r.Answered)}
 }
@@ -176,7 +176,7 @@
 	var requests []quarantiner.Fingerprint
 	var newest uint64
 	for _, x := range list {
-		requests = append(requests, quarantiner.FingerprintOf(x.Request))
+		requests = append(requests, quarantiner.FingerprintFromMessage(x.Request))
 		newest = max(newest, x.Number)
 	}
 	q.hold(now, newest, requests, func(i int) time.Duration { return time.Duration(list[i].LeftMs) * time.Millisecond })
@@ -212,7 +212,7 @@
 	q.held.Store(next)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.local.Hold(slices.Collect(maps.Keys(next.until)))
+	q.local.SetQuarantined(slices.Collect(maps.Keys(next.until)))
 }
 
 // holdMessage returns the log message for a request that is held back, or released if the
--- a/courier/quarantine_internal_test.go
+++ b/courier/quarantine_internal_test.go
@@ -45,9 +45,9 @@
 	g.Expect(stopped.Close()).To(gomega.Succeed())
 	q := newQuarantine(zap.NewNop())
 	for n, l := range []net.Listener{alive, stopped} {
-		e := predictor.NewEndpoint(enroller.Beat{Incarnation: enroller.Incarnation{ID: fmt.Sprint("e", n)}, Address: l.Addr().String()})
-		q.BrokenOff(e, content(uint64(10+n)), time.Second)
-		q.BrokenOff(e, content(uint64(20+n)), time.Second)
+		e := predictor.NewEndpoint(enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: fmt.Sprint("e", n)}, Address: l.Addr().String()})
+		q.RecordBrokenOff(e, content(uint64(10+n)), time.Second)
+		q.RecordBrokenOff(e, content(uint64(20+n)), time.Second)
 	}
 	g.Eventually(func() []uint64 { out, _ := pendingReport(q); return out }, 2*time.Second).Should(gomega.ConsistOf(uint64(11), uint64(21)))
 	g.Consistently(func() []uint64 { out, _ := pendingReport(q); return out }, 200*time.Millisecond).Should(gomega.HaveLen(2))
@@ -59,14 +59,14 @@
 func TestAnsweredRequestIsNoSuspect(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := newQuarantine(zap.NewNop())
-	q.Answered(content(1))
+	q.RecordSuccess(content(1))
 	for e := range 5 {
 		q.recordCrashes([]quarantiner.Crash{crash(1, e), crash(uint64(100+e), e)})
 	}
 	list, _ := pendingReport(q)
 	g.Expect(list).To(gomega.Equal([]uint64{100, 101, 102, 103, 104}))
 	q.holdLocal(time.Now().Add(time.Second))
-	g.Expect(q.Held(content(1))).To(gomega.BeZero())
+	g.Expect(q.HeldFor(content(1))).To(gomega.BeZero())
 }
 
 // Guards against crash reports that are lost when all keepers restart, since they hold them
@@ -99,12 +99,12 @@
 		q.recordCrashes([]quarantiner.Crash{crash(1, e), crash(uint64(100+e), e)})
 	}
 	q.holdLocal(time.Now())
-	g.Expect(q.Held(content(1))).To(gomega.BeZero(), "other requests may still fail there")
+	g.Expect(q.HeldFor(content(1))).To(gomega.BeZero(), "other requests may still fail there")
 	q.holdLocal(time.Now().Add(time.Second))
-	g.Expect(q.Held(content(1))).To(gomega.BeNumerically(">", 30*time.Second))
-	g.Expect(q.Held(content(100))).To(gomega.BeZero())
-	q.update(time.Now(), []*messenger.QuarantineTold{{Request: content(1).Content(), Number: 4, LeftMs: 3_600_000}})
-	g.Expect(q.Held(content(1))).To(gomega.BeNumerically(">", 30*time.Minute))
+	g.Expect(q.HeldFor(content(1))).To(gomega.BeNumerically(">", 30*time.Second))
+	g.Expect(q.HeldFor(content(100))).To(gomega.BeZero())
+	q.update(time.Now(), []*messenger.QuarantineTold{{Request: content(1).Message(), Number: 4, LeftMs: 3_600_000}})
+	g.Expect(q.HeldFor(content(1))).To(gomega.BeNumerically(">", 30*time.Minute))
 	r := &messenger.SyncRequest{}
 	q.fillRequest(r)
 	g.Expect(r.Quarantine).To(gomega.Equal(uint64(4)))
@@ -119,21 +119,21 @@
 	g := gomega.NewWithT(t)
 	now := time.Now()
 	q := newQuarantine(zap.NewNop())
-	q.update(now, []*messenger.QuarantineTold{{Request: content(1).Content(), Number: 1, LeftMs: 3_600_000}})
-	q.Answered(content(2))
-	q.Answered(content(1))
-	q.Answered(content(1))
+	q.update(now, []*messenger.QuarantineTold{{Request: content(1).Message(), Number: 1, LeftMs: 3_600_000}})
+	q.RecordSuccess(content(2))
+	q.RecordSuccess(content(1))
+	q.RecordSuccess(content(1))
 	r := &messenger.SyncRequest{}
 	report := q.fillRequest(r)
 	g.Expect(r.Answered).To(gomega.HaveLen(1))
 	g.Expect(r.Answered[0].Sum).To(gomega.Equal(uint64(1)))
-	g.Expect(q.Held(content(1))).NotTo(gomega.BeZero(), "keepers decide")
+	g.Expect(q.HeldFor(content(1))).NotTo(gomega.BeZero(), "keepers decide")
 	q.reportAccepted(now, now.Add(-time.Hour), report)
 	r = &messenger.SyncRequest{}
 	q.fillRequest(r)
 	g.Expect(r.Answered).To(gomega.BeEmpty())
-	q.update(now, []*messenger.QuarantineTold{{Request: content(1).Content(), Number: 2}, {Request: content(3).Content(), Number: 3}})
-	g.Expect(q.Held(content(1))).To(gomega.BeZero())
+	q.update(now, []*messenger.QuarantineTold{{Request: content(1).Message(), Number: 2}, {Request: content(3).Message(), Number: 3}})
+	g.Expect(q.HeldFor(content(1))).To(gomega.BeZero())
 	g.Expect(q.held.Load().newest).To(gomega.Equal(uint64(3)))
 }
 
--- a/courier/rate_limit.go
+++ b/courier/rate_limit.go
@@ -86,7 +86,7 @@
 // "" if no query is due.
 func (f *fleetView) ownerToPoll(now time.Time, e *predictor.Endpoint, l warmer.RateLimit) string {
 	owners, _ := f.warmup.splitRateLimit(l)
-	if f.warmup.members.Owns(e.Name(), e.Beat().Zone, owners) {
+	if f.warmup.members.IsOwner(e.Name(), e.Beat().Zone, owners) {
 		return ""
 	}
 	p, known := f.rateLimitPolls[e.Beat().Incarnation]
--- a/courier/rights.go
+++ b/courier/rights.go
@@ -60,7 +60,7 @@
 	owners   *owners
 
 	mu          sync.Mutex
-	purses      map[string]*allotter.Purse
+	purses      map[string]*allotter.Allocation
 	incarnation uint64
 	// sequence counts claims, and answeredSequence is that of the last claim with a response.
 	sequence, answeredSequence uint64
@@ -79,7 +79,7 @@
 
 func newRights(f *fleetView, address string, log *zap.Logger) *rights {
 	r := &rights{
-		fleet: f, address: address, log: log, urgent: make(chan struct{}, 1), purses: map[string]*allotter.Purse{},
+		fleet: f, address: address, log: log, urgent: make(chan struct{}, 1), purses: map[string]*allotter.Allocation{},
 		incarnation: newIncarnation(), settled: make(chan struct{}), started: newAccountStart(),
 	}
 	r.borrower = newBorrower(r, log)
@@ -89,7 +89,7 @@
 
 // reservation is an amount of tokens that one purse has reserved for a request.
 type reservation struct {
-	purse  *allotter.Purse
+	purse  *allotter.Allocation
 	tokens int64
 }
 
@@ -122,12 +122,12 @@
 // keepers are asked, and, if others is set, other routers too.
 func (r *rights) reserveLocally(ctx context.Context, workspace string, tokens int64, others bool) (*reservation, error) {
 	p, settled, firstCount := r.purse(workspace)
-	if p.IsDry(time.Now(), tokens) {
+	if p.FailedSearchRecently(time.Now(), tokens) {
 		rightsSpent.Inc()
 		return nil, forwarder.ErrSpent
 	}
 	for asked := false; ; asked = true {
-		if !asked && p.Reserve(time.Now(), tokens) || asked && p.Retry(time.Now(), tokens) {
+		if !asked && p.Reserve(time.Now(), tokens) || asked && p.RetryReserve(time.Now(), tokens) {
 			return &reservation{purse: p, tokens: tokens}, nil
 		}
 		if r.fleet.disconnected() {
@@ -135,7 +135,7 @@
 				return &reservation{purse: p, tokens: tokens}, nil
 			}
 			rightsOutOfReach.Inc()
-			return nil, forwarder.OutOfReach{After: r.retryAfter(p, tokens)}
+			return nil, forwarder.RightsUnavailable{After: r.retryAfter(p, tokens)}
 		}
 		select {
 		case r.urgent <- struct{}{}:
@@ -161,11 +161,11 @@
 }
 
 // borrow reserves tokens that other routers lend.
-func (r *rights) borrow(ctx context.Context, p *allotter.Purse, workspace string, tokens int64) bool {
+func (r *rights) borrow(ctx context.Context, p *allotter.Allocation, workspace string, tokens int64) bool {
 	if r.pooled(workspace) {
 		return r.borrowFromOtherZones(ctx, p, workspace, tokens)
 	}
-	return r.borrower.wait(ctx, func() bool { return p.Retry(time.Now(), tokens) })
+	return r.borrower.wait(ctx, func() bool { return p.RetryReserve(time.Now(), tokens) })
 }
 
 // retryAfter returns when a request without rights should be retried: once the bound has
@@ -173,11 +173,11 @@
 // answered already. The past duration of a partition is the best estimate of the remaining
 // one. Callers retry once: when they were told to retry after 0.25 s in a partition of 8 s,
 // they failed for good.
-func (r *rights) retryAfter(p *allotter.Purse, tokens int64) time.Duration {
+func (r *rights) retryAfter(p *allotter.Allocation, tokens int64) time.Duration {
 	if !r.fleet.disconnected() {
 		return 0
 	}
-	if d, ok := p.Until(time.Now(), tokens); ok {
+	if d, ok := p.TimeUntilAllowed(time.Now(), tokens); ok {
 		return d
 	}
 	return r.fleet.sinceContact()
@@ -185,13 +185,13 @@
 
 // refusal returns the error for a request without rights: the total is spent, or the rights
 // are out of reach.
-func (r *rights) refusal(p *allotter.Purse, tokens int64) error {
+func (r *rights) refusal(p *allotter.Allocation, tokens int64) error {
 	if !p.Exhausted(tokens) {
 		rightsOutOfReach.Inc()
-		return forwarder.OutOfReach{After: r.retryAfter(p, tokens)}
+		return forwarder.RightsUnavailable{After: r.retryAfter(p, tokens)}
 	}
 	rightsSpent.Inc()
-	p.Dry(time.Now(), tokens)
+	p.RecordFailedSearch(time.Now(), tokens)
 	return forwarder.ErrSpent
 }
 
@@ -210,12 +210,12 @@
 
 // purse returns the purse of a workspace, which is created if necessary. It also returns a
 // channel that is closed when the next claim is answered, and the number of answered claims.
-func (r *rights) purse(workspace string) (*allotter.Purse, chan struct{}, uint64) {
+func (r *rights) purse(workspace string) (*allotter.Allocation, chan struct{}, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.purses[workspace]
 	if p == nil {
-		p = &allotter.Purse{}
+		p = &allotter.Allocation{}
 		r.purses[workspace] = p
 	}
 	return p, r.settled, r.answeredClaims
@@ -279,7 +279,7 @@
 	q := &messenger.LeaveRightsRequest{}
 	r.mu.Lock()
 	for _, w := range slices.Sorted(maps.Keys(r.purses)) {
-		if n := r.purses[w].Rest(time.Now()); n > 0 {
+		if n := r.purses[w].TakeAvailable(time.Now()); n > 0 {
 			q.Gifts = append(q.Gifts, &messenger.PrepaidTotal{Workspace: w, Tokens: n})
 		}
 	}
@@ -343,10 +343,10 @@
 		return claimTimeout
 	}
 	for i, g := range reply.Grants.GetGrants() {
-		purses[i].Granted(g, change.Claims[i], sent)
+		purses[i].ApplyGrant(g, change.Claims[i], sent)
 	}
 	for w, p := range leftOut {
-		p.LeftOut(slices.Contains(reply.Grants.GetScarce(), w))
+		p.OmissionAnswered(slices.Contains(reply.Grants.GetScarce(), w))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -389,7 +389,7 @@
 		}
 		r.totals[w.Name] = *w.Prepaid
 		if r.purses[w.Name] == nil {
-			r.purses[w.Name] = &allotter.Purse{}
+			r.purses[w.Name] = &allotter.Allocation{}
 		}
 	}
 }
@@ -404,7 +404,7 @@
 	pause := r.fleet.paced(claimInterval, maxClaimPaceFactor)
 	renew := now.Sub(r.answeredSentAt) >= renewInterval
 	for w, p := range r.purses {
-		if renew && p.Known() || p.Due(now, r.floor(w), pause) {
+		if renew && p.ClaimAnswered() || p.ClaimDue(now, r.floor(w), pause) {
 			return true
 		}
 	}
@@ -413,10 +413,10 @@
 
 // buildClaims returns the claims to send now, their purses, and the purses that are left
 // out because nothing changed.
-func (r *rights) buildClaims(closing bool) (out *messenger.RightsChange, purses []*allotter.Purse, leftOut map[string]*allotter.Purse, sent time.Time) {
+func (r *rights) buildClaims(closing bool) (out *messenger.RightsChange, purses []*allotter.Allocation, leftOut map[string]*allotter.Allocation, sent time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	sent, leftOut = time.Now(), map[string]*allotter.Purse{}
+	sent, leftOut = time.Now(), map[string]*allotter.Allocation{}
 	r.sequence++
 	out = &messenger.RightsChange{
 		Router: r.address, Incarnation: r.incarnation, Closing: closing, Sequence: r.sequence, Answered: r.answeredSequence,
@@ -426,7 +426,7 @@
 	for _, w := range slices.Sorted(maps.Keys(r.purses)) {
 		p := r.purses[w]
 		r.setHolders(w, p)
-		known := p.Known()
+		known := p.ClaimAnswered()
 		switch {
 		case closing:
 			c := p.Close(w)
@@ -434,13 +434,13 @@
 				continue
 			}
 			out.Claims = append(out.Claims, c)
-		case !known && !p.Due(sent, r.floor(w), pause):
+		case !known && !p.ClaimDue(sent, r.floor(w), pause):
 			continue
-		case !p.Due(sent, r.floor(w), pause) && p.LeaveOut(sent):
+		case !p.ClaimDue(sent, r.floor(w), pause) && p.OmitFromClaim(sent):
 			leftOut[w] = p
 			continue
 		default:
-			out.Claims = append(out.Claims, p.Claim(sent, w, r.floor(w), pause))
+			out.Claims = append(out.Claims, p.NextClaim(sent, w, r.floor(w), pause))
 		}
 		purses = append(purses, p)
 	}
@@ -448,12 +448,12 @@
 }
 
 // setHolders tells a purse how many routers hold the rights of its workspace.
-func (r *rights) setHolders(workspace string, p *allotter.Purse) {
+func (r *rights) setHolders(workspace string, p *allotter.Allocation) {
 	if total, limited := r.totals[workspace]; limited && r.floorShare(workspace) < minFloor {
-		p.Pool(r.fleet.zoneCount(), total)
+		p.SetPooledHolders(r.fleet.zoneCount(), total)
 		return
 	}
-	p.Among(r.fleet.Routers())
+	p.SetHolders(r.fleet.Routers())
 }
 
 // sendClaims sends the claims to a keeper, which forwards them to the leader.
@@ -474,7 +474,7 @@
 	defer r.mu.Unlock()
 	r.log.Warn("keepers closed the rights account, opening a new one", zap.Uint64("incarnation", r.incarnation))
 	for w := range r.purses {
-		r.purses[w] = &allotter.Purse{}
+		r.purses[w] = &allotter.Allocation{}
 	}
 	r.incarnation = newIncarnation()
 	r.sequence, r.answeredSequence, r.started = 0, 0, newAccountStart()
--- a/courier/shedding.go
+++ b/courier/shedding.go
@@ -79,7 +79,7 @@
 		s.zone = shaper.ZoneLoad{}
 	}
 	before, utilization := s.shedder.Shedding(), s.admission.Utilization(now)
-	s.shedder.Step(now, utilization, s.zone)
+	s.shedder.Update(now, utilization, s.zone)
 	if after := s.shedder.Shedding(); after != before {
 		s.log.Info("callers are sent to other routers", zap.Bool("shedding", after), zap.Float64("utilization", utilization),
 			zap.Float64("zone_mean", s.zone.Mean), zap.Int("zone_routers", s.zone.Routers), zap.Int("zone_shedding", s.zone.Shedding))
--- a/courier/source.go
+++ b/courier/source.go
@@ -58,23 +58,23 @@
 	}
 	s.epoch, s.revision = r.Epoch, r.Revision
 	for _, g := range r.Gone {
-		i := enroller.LeaveOf(g)
+		i := enroller.IncarnationFromLeave(g)
 		delete(s.alive, i)
 		f.registered.Forget(i)
 	}
 	if sent.Sub(s.aliveRecordedAt) >= f.aliveInterval {
 		s.aliveRecordedAt = sent
 		for i := range s.alive {
-			f.registered.Alive(sent, i)
+			f.registered.MarkAlive(sent, i)
 		}
 	}
 	for _, x := range r.Endpoints {
-		b, age := enroller.BeatOf(x)
-		if b.Cold > 0 {
+		b, age := enroller.HeartbeatFromSighting(x)
+		if b.ColdRemaining > 0 {
 			// The remaining cold time counts from the reply, not from the request.
-			b.Cold += now.Sub(sent)
+			b.ColdRemaining += now.Sub(sent)
 		}
-		f.registered.Hear(sent, b, age)
+		f.registered.Observe(sent, b, age)
 		if r.Epoch != 0 {
 			s.alive[b.Incarnation] = true
 		}
--- a/courier/warmup.go
+++ b/courier/warmup.go
@@ -28,7 +28,7 @@
 		members: warmer.NewMembers(warmer.Member{Address: o.Node.Internal(), Zone: o.Node.Zone()}),
 		cold:    map[enroller.Incarnation]bool{},
 	}
-	w.overshoot, w.slack = o.Node.Cold()
+	w.overshoot, w.slack = o.Node.ColdLimit()
 	w.rateLimit.Overshoot, w.rateLimit.Slack, w.rateLimit.Window = o.Node.RateLimit()
 	w.rateLimit.MinPerSecond = minLimitedRate
 	return w
@@ -54,14 +54,14 @@
 	x, byBeat, returned := f.index.Load(), f.registered.ColdUntil(now), f.evacuations.load().returned
 	for i, e := range f.endpoints {
 		w.applyRateLimit(now, e)
-		until, cold := byBeat[i], publisher.Cold{}
+		until, cold := byBeat[i], publisher.ColdStart{}
 		if x != nil {
 			service := x.Service(e.Beat().Service)
-			if service == nil || service.Cold.PerSecond <= 0 {
+			if service == nil || service.ColdStart.MaxRequestsPerSecond <= 0 {
 				w.setColdLimit(now, e, time.Time{}, cold)
 				continue
 			}
-			cold = service.Cold
+			cold = service.ColdStart
 		}
 		if at, ok := returned[e.Beat().Zone]; ok && at.Add(cold.Duration).After(until) {
 			until = at.Add(cold.Duration)
@@ -77,30 +77,30 @@
 	if x == nil || len(w.cold) > 0 || f.rateLimited.Load() {
 		return true
 	}
-	return slices.ContainsFunc(x.Document().Services, func(s publisher.Service) bool { return s.Cold.PerSecond > 0 })
+	return slices.ContainsFunc(x.Document().Services, func(s publisher.Service) bool { return s.ColdStart.MaxRequestsPerSecond > 0 })
 }
 
 // setColdLimit sets this router's share of the rate of a cold endpoint, or removes the limit
 // once the endpoint is no longer cold.
-func (w *warmup) setColdLimit(now time.Time, e *predictor.Endpoint, until time.Time, c publisher.Cold) {
+func (w *warmup) setColdLimit(now time.Time, e *predictor.Endpoint, until time.Time, c publisher.ColdStart) {
 	b := e.Beat()
 	if !until.After(now) {
 		if w.cold[b.Incarnation] {
 			delete(w.cold, b.Incarnation)
-			e.Warmup().Set(now, until, warmer.Share{}, time.Time{})
+			e.Warmup().SetCold(now, until, warmer.Share{}, time.Time{})
 		}
 		return
 	}
 	w.cold[b.Incarnation] = true
-	owners, share := warmer.Limit{PerSecond: c.PerSecond, Overshoot: w.overshoot, Slack: w.slack, Window: time.Second}.Split()
-	e.Warmup().Set(now, until, share, w.ownedUntil(now, e, owners))
+	owners, share := warmer.Limit{PerSecond: c.MaxRequestsPerSecond, Overshoot: w.overshoot, Slack: w.slack, Window: time.Second}.Split()
+	e.Warmup().SetCold(now, until, share, w.ownedUntil(now, e, owners))
 }
 
 // ownedUntil returns the time until which this router may act as an owner of an endpoint,
 // or the zero time if it isn't an owner.
 func (w *warmup) ownedUntil(now time.Time, e *predictor.Endpoint, owners int) time.Time {
-	if !w.members.Owns(e.Name(), e.Beat().Zone, owners) {
+	if !w.members.IsOwner(e.Name(), e.Beat().Zone, owners) {
 		return time.Time{}
 	}
-	return w.members.Until(now)
+	return w.members.OwnerUntil(now)
 }
--- a/courier/warmup_test.go
+++ b/courier/warmup_test.go
@@ -25,11 +25,11 @@
 	cold(60_000, 1)
 	f := startFleetWith(t, func(o *Options) {
 		o.Decode = func([]byte) (*publisher.Document, error) {
-			return &publisher.Document{Number: 1, Services: []publisher.Service{{Name: "s", Cold: publisher.Cold{Duration: time.Second, PerSecond: 10}}}}, nil
+			return &publisher.Document{Number: 1, Services: []publisher.Service{{Name: "s", ColdStart: publisher.ColdStart{Duration: time.Second, MaxRequestsPerSecond: 10}}}}, nil
 		}
 	}, serveStub(t, k))
 	chosen := func() string {
-		w := f.table.Choose(time.Now(), predictor.Ask{Service: "s"})
+		w := f.table.Choose(time.Now(), predictor.Request{Service: "s"})
 		if w == nil {
 			return ""
 		}
--- a/endpoint.go
+++ b/endpoint.go
@@ -30,7 +30,7 @@
 // and is replaced as a whole.
 type renewal struct {
 	load int64
-	// Heard is no later than the time of the announcement, so that the age
+	// AnnouncedAt is no later than the time of the announcement, so that the age
 	// computed from it is never too small.
 	heard Moment
 	// Leaving is never reset for an incarnation.
@@ -43,7 +43,7 @@
 	Labels                       map[string]string
 	Incarnation                  Incarnation
 	Capacity, Load               int64
-	Heard                        time.Time
+	AnnouncedAt                  time.Time
 	Leaving                      bool
 	ChecksFencing                bool
 	// HeldUntil is zero for an endpoint that is not held back for quick restarts.
@@ -58,19 +58,19 @@
 		labels: f.Labels, incarnation: f.Incarnation,
 		capacity: max(f.Capacity, 1), checksFencing: f.ChecksFencing, heldUntil: f.HeldUntil,
 	}
-	e.renewal.Store(&renewal{load: f.Load, heard: MomentOf(f.Heard), leaving: f.Leaving})
+	e.renewal.Store(&renewal{load: f.Load, heard: MomentOf(f.AnnouncedAt), leaving: f.Leaving})
 	return e
 }
 
 // Renew sets the load and the time of the latest announcement. Calls of Renew and
-// Leave must not overlap.
+// MarkLeaving must not overlap.
 func (e *Endpoint) Renew(load int64, heard Moment) {
 	e.renewal.Store(&renewal{load: load, heard: heard, leaving: e.Leaving()})
 }
 
-// Leave marks the endpoint as leaving permanently. Calls of Renew and Leave must
+// MarkLeaving marks the endpoint as leaving permanently. Calls of Renew and Leave must
 // not overlap.
-func (e *Endpoint) Leave() {
+func (e *Endpoint) MarkLeaving() {
 	r := *e.renewal.Load()
 	r.leaving = true
 	e.renewal.Store(&r)
@@ -104,11 +104,11 @@
 // Load returns the number of requests in progress that was last reported.
 func (e *Endpoint) Load() int64 { return e.renewal.Load().load }
 
-// Heard returns the earliest time at which the latest announcement can have been made.
-func (e *Endpoint) Heard() time.Time { return e.renewal.Load().heard.Time() }
+// AnnouncedAt returns the earliest time at which the latest announcement can have been made.
+func (e *Endpoint) AnnouncedAt() time.Time { return e.renewal.Load().heard.Time() }
 
-// HeardMoment returns the same time as Heard, as read from both clocks.
-func (e *Endpoint) HeardMoment() Moment { return e.renewal.Load().heard }
+// AnnouncedAtMoment returns the same time as Heard, as read from both clocks.
+func (e *Endpoint) AnnouncedAtMoment() Moment { return e.renewal.Load().heard }
 
 // Leaving reports whether the endpoint is leaving and accepts no new requests.
 func (e *Endpoint) Leaving() bool { return e.renewal.Load().leaving }
--- a/enroller/enroller.go
+++ b/enroller/enroller.go
@@ -15,10 +15,10 @@
 
 // ErrInvalidHeartbeat says that a heartbeat does not come from a valid endpoint: another
 // program must have sent it. Compare with errors.Is.
-var ErrUnusable = merry.Sentinel("heartbeat is unusable")
+var ErrInvalidHeartbeat = merry.Sentinel("heartbeat is unusable")
 
 // Heartbeat is one heartbeat of an endpoint.
-type Beat struct {
+type Heartbeat struct {
 	Incarnation
 	// Service never changes during an incarnation.
 	Service string
@@ -27,14 +27,14 @@
 	Slots   int
 	Leaving bool
 	// ColdRemaining is how much longer the endpoint is slow after its start.
-	Cold time.Duration
+	ColdRemaining time.Duration
 	// Sequence grows with each heartbeat of an incarnation.
 	Sequence uint64
 }
 
 // entry is what the table knows about one endpoint.
 type entry struct {
-	heartbeat Beat
+	heartbeat Heartbeat
 	lastSeen  time.Time
 	// coldUntil is when the endpoint will be warm, according to its latest heartbeat.
 	coldUntil time.Time
@@ -82,7 +82,7 @@
 func (t *Table) Revision() uint64 { return t.revision }
 
 // Current returns the newest incarnation under an id.
-func (t *Table) Known(id string) (Incarnation, bool) {
+func (t *Table) Current(id string) (Incarnation, bool) {
 	e := t.entries[id]
 	if e == nil {
 		return Incarnation{}, false
@@ -103,7 +103,7 @@
 // Consistent reports whether a heartbeat is consistent with what is known of its id: an
 // incarnation never changes its service, and an endpoint that has reported a start time
 // continues to report one. Any other heartbeat was not sent by that endpoint.
-func (t *Table) Consistent(b Beat) bool {
+func (t *Table) Consistent(b Heartbeat) bool {
 	e := t.entries[b.ID]
 	if e == nil {
 		return true
@@ -116,7 +116,7 @@
 
 // Observe records a heartbeat that was sent age ago. It reports whether the heartbeat
 // changed anything other than the time at which the endpoint was last alive.
-func (t *Table) Hear(now time.Time, b Beat, age time.Duration) bool {
+func (t *Table) Observe(now time.Time, b Heartbeat, age time.Duration) bool {
 	if t.hasEnded(b.Incarnation) || age > t.expireAfter || !t.Consistent(b) {
 		return false
 	}
@@ -140,9 +140,9 @@
 	// Leaving is final for an incarnation: a delayed heartbeat from before it must not
 	// make the endpoint available again.
 	b.Leaving = b.Leaving || e.heartbeat.Leaving
-	coldUntil := lastSeen.Add(b.Cold)
+	coldUntil := lastSeen.Add(b.ColdRemaining)
 	changed := b.Leaving != e.heartbeat.Leaving || b.Address != e.heartbeat.Address || b.Slots != e.heartbeat.Slots ||
-		b.Cold > 0 && coldUntil.Sub(e.coldUntil) > coldTolerance
+		b.ColdRemaining > 0 && coldUntil.Sub(e.coldUntil) > coldTolerance
 	if b.Sequence > e.heartbeat.Sequence || coldUntil.After(e.coldUntil) {
 		e.coldUntil = coldUntil
 	}
@@ -167,7 +167,7 @@
 
 // insert adds an incarnation. Another endpoint at the same address has ended, and gets a
 // tombstone so that a delayed heartbeat does not add it again.
-func (t *Table) insert(now time.Time, b Beat, lastSeen time.Time) bool {
+func (t *Table) insert(now time.Time, b Heartbeat, lastSeen time.Time) bool {
 	if old := t.byAddress[b.Address]; old != "" && old != b.ID {
 		if o := t.entries[old]; o != nil {
 			if o.lastSeen.After(lastSeen) {
@@ -177,7 +177,7 @@
 		}
 	}
 	t.revision++
-	t.entries[b.ID] = &entry{heartbeat: b, lastSeen: lastSeen, coldUntil: lastSeen.Add(b.Cold), revision: t.revision}
+	t.entries[b.ID] = &entry{heartbeat: b, lastSeen: lastSeen, coldUntil: lastSeen.Add(b.ColdRemaining), revision: t.revision}
 	t.byAddress[b.Address] = b.ID
 	return true
 }
@@ -188,7 +188,7 @@
 	if _, known := t.tombstones[i.ID]; known && i.BornMS == 0 || t.hasEnded(i) {
 		return
 	}
-	if k, ok := t.Known(i.ID); ok && i.BornMS == 0 {
+	if k, ok := t.Current(i.ID); ok && i.BornMS == 0 {
 		i = k
 	}
 	t.markEnded(now, i)
@@ -228,7 +228,7 @@
 }
 
 // MarkAlive records that an incarnation was alive at a point in time.
-func (t *Table) Alive(at time.Time, i Incarnation) {
+func (t *Table) MarkAlive(at time.Time, i Incarnation) {
 	if e := t.entries[i.ID]; e != nil && e.heartbeat.Incarnation == i && at.After(e.lastSeen) {
 		e.lastSeen = at
 	}
@@ -282,10 +282,10 @@
 func intern(s string) string { return unique.Make(s).Value() }
 
 // HeartbeatFromSighting returns the heartbeat that a sighting describes, and its age.
-func BeatOf(s *messenger.Sighting) (Beat, time.Duration) {
-	return Beat{
+func HeartbeatFromSighting(s *messenger.Sighting) (Heartbeat, time.Duration) {
+	return Heartbeat{
 		Incarnation: Incarnation{ID: s.Id, BornMS: s.BornMs},
 		Service:     intern(s.Service), Address: s.Address, Zone: intern(s.Zone), Slots: int(s.Slots), Leaving: s.Leaving,
-		Cold: time.Duration(s.ColdMs) * time.Millisecond, Sequence: s.Sequence,
+		ColdRemaining: time.Duration(s.ColdMs) * time.Millisecond, Sequence: s.Sequence,
 	}, time.Duration(s.AgeMs) * time.Millisecond
 }
--- a/enroller/enroller_test.go
+++ b/enroller/enroller_test.go
@@ -26,18 +26,18 @@
 func TestLateHeartbeatAfterALeave(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := enroller.NewTable(5 * time.Second)
-	x.Hear(start, enroller.Beat{Incarnation: enroller.Incarnation{ID: "a"}, Address: "1", Sequence: 3}, 0)
+	x.Observe(start, enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: "a"}, Address: "1", Sequence: 3}, 0)
 	x.Leave(start, enroller.Incarnation{ID: "a"})
-	x.Hear(start.Add(time.Second), enroller.Beat{Incarnation: enroller.Incarnation{ID: "a"}, Address: "1", Sequence: 4}, 0)
+	x.Observe(start.Add(time.Second), enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: "a"}, Address: "1", Sequence: 4}, 0)
 	g.Expect(ids(x, start)).To(gomega.BeEmpty())
 }
 
 func TestLeavingIsFinal(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := enroller.NewTable(5 * time.Second)
-	x.Hear(start, enroller.Beat{Incarnation: enroller.Incarnation{ID: "a"}, Address: "1", Sequence: 5, Leaving: true}, 0)
-	x.Hear(start, enroller.Beat{Incarnation: enroller.Incarnation{ID: "a"}, Address: "1", Sequence: 4}, 0)
-	x.Hear(start, enroller.Beat{Incarnation: enroller.Incarnation{ID: "a"}, Address: "1", Sequence: 6}, 0)
+	x.Observe(start, enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: "a"}, Address: "1", Sequence: 5, Leaving: true}, 0)
+	x.Observe(start, enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: "a"}, Address: "1", Sequence: 4}, 0)
+	x.Observe(start, enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: "a"}, Address: "1", Sequence: 6}, 0)
 	g.Expect(x.Sightings(start)[0].Leaving).To(gomega.BeTrue())
 }
 
@@ -48,16 +48,16 @@
 func TestDelayedHeartbeatOfReplacedEndpoint(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := enroller.NewTable(5 * time.Second)
-	x.Hear(start, enroller.Beat{Incarnation: enroller.Incarnation{ID: "old"}, Address: "1", Sequence: 3}, 0)
-	x.Hear(start.Add(time.Second), enroller.Beat{Incarnation: enroller.Incarnation{ID: "new"}, Address: "1", Sequence: 1}, 0)
-	x.Hear(start.Add(2*time.Second), enroller.Beat{Incarnation: enroller.Incarnation{ID: "old"}, Address: "1", Sequence: 9}, 0)
+	x.Observe(start, enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: "old"}, Address: "1", Sequence: 3}, 0)
+	x.Observe(start.Add(time.Second), enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: "new"}, Address: "1", Sequence: 1}, 0)
+	x.Observe(start.Add(2*time.Second), enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: "old"}, Address: "1", Sequence: 9}, 0)
 	g.Expect(ids(x, start)).To(gomega.Equal([]string{"new"}))
 }
 
 func TestSilentEndpointsExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := enroller.NewTable(5 * time.Second)
-	x.Hear(start, enroller.Beat{Incarnation: enroller.Incarnation{ID: "a"}, Address: "1"}, time.Second)
+	x.Observe(start, enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: "a"}, Address: "1"}, time.Second)
 	x.Expire(start.Add(3 * time.Second))
 	g.Expect(ids(x, start)).To(gomega.Equal([]string{"a"}))
 	before := x.Revision()
@@ -67,8 +67,8 @@
 }
 
 // heartbeatOf returns a heartbeat of the endpoint "a".
-func heartbeatOf(born int64, sequence uint64) enroller.Beat {
-	return enroller.Beat{Incarnation: enroller.Incarnation{ID: "a", BornMS: born}, Service: "s", Address: "1", Sequence: sequence}
+func heartbeatOf(born int64, sequence uint64) enroller.Heartbeat {
+	return enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: "a", BornMS: born}, Service: "s", Address: "1", Sequence: sequence}
 }
 
 // startTimes returns the start times of the known endpoints.
@@ -91,10 +91,10 @@
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			x := enroller.NewTable(5 * time.Second)
-			x.Hear(start, heartbeatOf(10, 400), 0)
+			x.Observe(start, heartbeatOf(10, 400), 0)
 			end(x)
 			before := x.Revision()
-			g.Expect(x.Hear(start, heartbeatOf(20, 1), 0)).To(gomega.BeTrue())
+			g.Expect(x.Observe(start, heartbeatOf(20, 1), 0)).To(gomega.BeTrue())
 			g.Expect(startTimes(x)).To(gomega.Equal([]int64{20}))
 			g.Expect(x.Revision()).To(gomega.BeNumerically(">", before))
 		})
@@ -106,20 +106,20 @@
 func TestDelayedMessagesOfEarlierIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := enroller.NewTable(5 * time.Second)
-	x.Hear(start, heartbeatOf(10, 400), 0)
-	x.Hear(start, heartbeatOf(20, 1), 0)
+	x.Observe(start, heartbeatOf(10, 400), 0)
+	x.Observe(start, heartbeatOf(20, 1), 0)
 	before := x.Revision()
 	leaving := heartbeatOf(10, 401)
 	leaving.Leaving = true
-	g.Expect(x.Hear(start, leaving, 0)).To(gomega.BeFalse())
+	g.Expect(x.Observe(start, leaving, 0)).To(gomega.BeFalse())
 	g.Expect(x.Revision()).To(gomega.Equal(before))
 	x.Leave(start, enroller.Incarnation{ID: "a", BornMS: 10})
 	g.Expect(startTimes(x)).To(gomega.Equal([]int64{20}))
 	g.Expect(x.Sightings(start)[0].Leaving).To(gomega.BeFalse())
 	x.Expire(start.Add(6 * time.Second))
-	g.Expect(x.Hear(start.Add(6*time.Second), heartbeatOf(10, 402), 0)).To(gomega.BeFalse(), "not even after the next incarnation expired")
+	g.Expect(x.Observe(start.Add(6*time.Second), heartbeatOf(10, 402), 0)).To(gomega.BeFalse(), "not even after the next incarnation expired")
 	x.Leave(start, enroller.Incarnation{ID: "a", BornMS: 20})
-	g.Expect(x.Hear(start, heartbeatOf(20, 2), 0)).To(gomega.BeFalse())
+	g.Expect(x.Observe(start, heartbeatOf(20, 2), 0)).To(gomega.BeFalse())
 }
 
 // A leave without a start time means the current incarnation; when it is repeated, it does
@@ -127,10 +127,10 @@
 func TestLeaveWithoutStartTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := enroller.NewTable(5 * time.Second)
-	x.Hear(start, heartbeatOf(10, 1), 0)
+	x.Observe(start, heartbeatOf(10, 1), 0)
 	x.Leave(start, enroller.Incarnation{ID: "a"})
 	g.Expect(startTimes(x)).To(gomega.BeEmpty())
-	x.Hear(start, heartbeatOf(20, 1), 0)
+	x.Observe(start, heartbeatOf(20, 1), 0)
 	x.Leave(start, enroller.Incarnation{ID: "a"})
 	g.Expect(startTimes(x)).To(gomega.Equal([]int64{20}))
 }
@@ -141,12 +141,12 @@
 func TestConflictingHeartbeatUnderKnownID(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := enroller.NewTable(5 * time.Second)
-	x.Hear(start, heartbeatOf(10, 1), 0)
+	x.Observe(start, heartbeatOf(10, 1), 0)
 	other := heartbeatOf(10, 2)
 	other.Service = "t"
-	for _, b := range []enroller.Beat{other, heartbeatOf(0, 3)} {
+	for _, b := range []enroller.Heartbeat{other, heartbeatOf(0, 3)} {
 		g.Expect(x.Consistent(b)).To(gomega.BeFalse())
-		x.Hear(start, b, 0)
+		x.Observe(start, b, 0)
 		g.Expect(x.Sightings(start)).To(gomega.HaveLen(1))
 		g.Expect(x.Sightings(start)[0].Sequence).To(gomega.Equal(uint64(1)))
 	}
@@ -158,17 +158,17 @@
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	x := enroller.NewTable(10 * time.Second)
-	beat := func(sequence uint64, cold time.Duration) enroller.Beat {
-		return enroller.Beat{Incarnation: enroller.Incarnation{ID: "e"}, Service: "s", Address: "a:1", Zone: "z", Slots: 1, Sequence: sequence, Cold: cold}
+	beat := func(sequence uint64, cold time.Duration) enroller.Heartbeat {
+		return enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: "e"}, Service: "s", Address: "a:1", Zone: "z", Slots: 1, Sequence: sequence, ColdRemaining: cold}
 	}
 	until := func(at time.Time) time.Time { return x.ColdUntil(at)[enroller.Incarnation{ID: "e"}] }
-	x.Hear(now, beat(1, 3*time.Second), time.Second)
+	x.Observe(now, beat(1, 3*time.Second), time.Second)
 	g.Expect(until(now)).To(gomega.Equal(now.Add(2 * time.Second)))
 	g.Expect(until(now.Add(2 * time.Second))).To(gomega.BeZero())
-	g.Expect(x.Hear(now.Add(time.Second), beat(2, time.Second), 0)).To(gomega.BeFalse(), "the same cold phase")
-	g.Expect(x.Hear(now.Add(2*time.Second), beat(3, 0), 0)).To(gomega.BeFalse())
-	g.Expect(x.Hear(now.Add(3*time.Second), beat(4, 3*time.Second), 0)).To(gomega.BeTrue(), "cold again")
-	g.Expect(x.Hear(now.Add(3*time.Second), beat(3, 0), 0)).To(gomega.BeFalse(), "an earlier heartbeat arrives late")
+	g.Expect(x.Observe(now.Add(time.Second), beat(2, time.Second), 0)).To(gomega.BeFalse(), "the same cold phase")
+	g.Expect(x.Observe(now.Add(2*time.Second), beat(3, 0), 0)).To(gomega.BeFalse())
+	g.Expect(x.Observe(now.Add(3*time.Second), beat(4, 3*time.Second), 0)).To(gomega.BeTrue(), "cold again")
+	g.Expect(x.Observe(now.Add(3*time.Second), beat(3, 0), 0)).To(gomega.BeFalse(), "an earlier heartbeat arrives late")
 	g.Expect(until(now.Add(3 * time.Second))).To(gomega.Equal(now.Add(6 * time.Second)))
 }
 
@@ -189,25 +189,25 @@
 		case 1:
 			x.Expire(now)
 		default:
-			x.Hear(now, enroller.Beat{Incarnation: i, Service: "s", Address: fmt.Sprint("a", r.IntN(60), ":1"), Zone: "z", Slots: 1 + r.IntN(2), Sequence: uint64(now.UnixMilli())}, 0)
+			x.Observe(now, enroller.Heartbeat{Incarnation: i, Service: "s", Address: fmt.Sprint("a", r.IntN(60), ":1"), Zone: "z", Slots: 1 + r.IntN(2), Sequence: uint64(now.UnixMilli())}, 0)
 		}
 		if r.IntN(3) > 0 {
 			continue
 		}
-		next := v.Revision(now)
+		next := v.Refresh(now)
 		changed, gone, known := v.Changes(now, revision)
 		g.Expect(known).To(gomega.BeTrue())
 		for _, i := range gone {
 			delete(held, i)
 		}
 		for _, s := range changed {
-			b, _ := enroller.BeatOf(s)
+			b, _ := enroller.HeartbeatFromSighting(s)
 			held[b.Incarnation] = fmt.Sprint(b.Address, b.Slots)
 		}
 		revision = next
 		want := map[enroller.Incarnation]string{}
 		for _, s := range x.Sightings(now) {
-			b, _ := enroller.BeatOf(s)
+			b, _ := enroller.HeartbeatFromSighting(s)
 			want[b.Incarnation] = fmt.Sprint(b.Address, b.Slots)
 		}
 		g.Expect(held).To(gomega.Equal(want))
--- a/enroller/incarnation.go
+++ b/enroller/incarnation.go
@@ -25,11 +25,11 @@
 }
 
 // IncarnationFromLeave returns the incarnation that a leave message names.
-func LeaveOf(l *messenger.LeaveChange) Incarnation {
+func IncarnationFromLeave(l *messenger.LeaveChange) Incarnation {
 	return Incarnation{ID: l.Endpoint, BornMS: l.BornMs}
 }
 
 // LeaveChange returns the message which says that the incarnation has left.
-func (i Incarnation) Leave() *messenger.LeaveChange {
+func (i Incarnation) LeaveChange() *messenger.LeaveChange {
 	return &messenger.LeaveChange{Endpoint: i.ID, BornMs: i.BornMS}
 }
--- a/enroller/view.go
+++ b/enroller/view.go
@@ -73,7 +73,7 @@
 
 // Refresh brings the view up to date if the last refresh is long enough ago, and returns
 // the view's revision.
-func (v *View) Revision(now time.Time) uint64 {
+func (v *View) Refresh(now time.Time) uint64 {
 	pause := time.Duration(max(len(v.table.entries)-unthrottledEndpoints, 0)) * refreshIntervalPerEndpoint
 	if v.tableRevision != v.table.revision && now.Sub(v.refreshedAt) >= pause {
 		v.updateMembers()
--- a/enroller/view_test.go
+++ b/enroller/view_test.go
@@ -20,7 +20,7 @@
 		if i/5%20 == 0 {
 			service = "portal"
 		}
-		x.Hear(now, enroller.Beat{
+		x.Observe(now, enroller.Heartbeat{
 			Incarnation: enroller.Incarnation{ID: fmt.Sprintf("i-%08d", i)}, Service: service, Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250),
 			Zone: viewZones[i%len(viewZones)], Slots: 12, Sequence: 1,
 		}, 0)
@@ -37,7 +37,7 @@
 		x := enroller.NewTable(time.Minute)
 		announce(x, now, n)
 		v := x.View("z1")
-		v.Revision(now)
+		v.Refresh(now)
 		own := 0
 		for _, s := range v.Sightings(now, 0) {
 			if s.Zone == "z1" {
@@ -58,7 +58,7 @@
 	x := enroller.NewTable(time.Minute)
 	announce(x, now, 10_000)
 	v := x.View("z1")
-	before := v.Revision(now)
+	before := v.Refresh(now)
 	var ended *messenger.Sighting
 	for _, s := range v.Sightings(now, 0) {
 		if s.Zone == "z2" {
@@ -68,7 +68,7 @@
 	}
 	x.Leave(now, enroller.Incarnation{ID: ended.Id})
 	now = now.Add(time.Second)
-	after := v.Revision(now)
+	after := v.Refresh(now)
 	g.Expect(after).To(gomega.Equal(before + 2))
 	changed, gone, known := v.Changes(now, before)
 	g.Expect(known).To(gomega.BeTrue())
@@ -85,17 +85,17 @@
 	x := enroller.NewTable(time.Minute)
 	announce(x, now, 20_000)
 	v := x.View("z1")
-	revision, refreshes := v.Revision(now), 0
+	revision, refreshes := v.Refresh(now), 0
 	for i := range 100 {
 		now = now.Add(100 * time.Millisecond)
 		x.Leave(now, enroller.Incarnation{ID: fmt.Sprintf("i-%08d", 1+5*i)})
-		if next := v.Revision(now); next != revision {
+		if next := v.Refresh(now); next != revision {
 			revision = next
 			refreshes++
 		}
 	}
 	g.Expect(refreshes).To(gomega.BeNumerically("<=", 30), "in ten seconds")
-	v.Revision(now.Add(time.Second))
+	v.Refresh(now.Add(time.Second))
 	for _, s := range v.Sightings(now.Add(time.Second), 0) {
 		for i := range 100 {
 			g.Expect(s.Id).NotTo(gomega.Equal(fmt.Sprintf("i-%08d", 1+5*i)))
