--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -74,7 +74,7 @@
 func (j *job) reportBrokenOff(ctx context.Context, e *predictor.Endpoint, underway time.Duration) {
 	if ctx.Err() == nil {
 		j.suspected = true
-		j.f.Quarantine.BrokenOff(e, j.fingerprint, underway)
+		j.f.Quarantine.RecordBrokenOff(e, j.fingerprint, underway)
 	}
 }
 
@@ -84,18 +84,18 @@
 func (j *job) recordSuccess(status int, e *predictor.Endpoint) {
 	e.Gate().Step(time.Since(j.f.start), ejector.Succeeded, 0)
 	if status < http.StatusMultipleChoices {
-		j.f.Quarantine.Answered(j.fingerprint)
+		j.f.Quarantine.RecordSuccess(j.fingerprint)
 	}
 }
 
 // predictorRequest describes the request for the choice of an endpoint.
-func (j *job) predictorRequest() predictor.Ask {
-	a := predictor.Ask{
-		Service: j.service.Name, Zones: j.zones, Prompt: j.caller.Prompt, Partial: j.f.Fleet.Partial(), Tried: append(j.tried, j.noConnection...),
-		Since: time.Since(j.f.start), Repeatable: j.repeatable() && len(j.tried)+1 < j.route.Attempts,
+func (j *job) predictorRequest() predictor.Request {
+	a := predictor.Request{
+		Service: j.service.Name, Zones: j.zones, Prompt: j.caller.Prompt, PartialDispatches: j.f.Fleet.PartialDispatches(), Tried: append(j.tried, j.noConnection...),
+		Elapsed: time.Since(j.f.start), Repeatable: j.repeatable() && len(j.tried)+1 < j.route.Attempts,
 	}
 	if e := j.service.Engine; e != nil {
-		a.Memory, a.Carry = e.MemoryTokens, e.Carry()
+		a.CacheTokens, a.TransferPerToken = e.MemoryTokens, e.TransferTimePerToken()
 	}
 	return a
 }
@@ -107,7 +107,7 @@
 		j.endWithoutAnswer(ctx, http.StatusServiceUnavailable, "out of time")
 		return false
 	}
-	if j.f.Quarantine.Held(j.fingerprint) > 0 {
+	if j.f.Quarantine.HeldFor(j.fingerprint) > 0 {
 		j.endWithoutAnswer(ctx, http.StatusServiceUnavailable, heldBackReason)
 		return false
 	}
@@ -139,7 +139,7 @@
 // takeRetry takes one retry out of the retry budget, if the route allows another attempt.
 func (j *job) takeRetry() bool {
 	return len(j.tried) < max(j.route.Attempts, 1) &&
-		j.f.Limiter.Repeat(time.Now(), j.service.Name, j.f.Fleet.Routers())
+		j.f.Limiter.AllowRetry(time.Now(), j.service.Name, j.f.Fleet.Routers())
 }
 
 // repeatable reports whether the request may be run again, or its stream be resumed, at
@@ -169,12 +169,12 @@
 }
 
 // attempt sends the request to one endpoint and handles the answer.
-func (j *job) attempt(ctx context.Context, assignment *predictor.Work) outcome {
+func (j *job) attempt(ctx context.Context, assignment *predictor.Assignment) outcome {
 	e := assignment.Endpoint()
 	b := e.Beat()
 	e.Gate().Step(time.Since(j.f.start), ejector.Dispatched, 0)
-	if assignment.Unread() > 0 {
-		j.f.Fleet.Dispatched(e.Name(), b.Zone, assignment.Dispatch())
+	if assignment.UncachedTokens() > 0 {
+		j.f.Fleet.AnnounceDispatch(e.Name(), b.Zone, assignment.Dispatch())
 	}
 	if e.Warmup().RateLimit().Limited {
 		requestsToRateLimited.Inc()
@@ -192,7 +192,7 @@
 			j.recordFailure(ctx, e)
 			return outcomeLost
 		}
-		if errors.Is(err, pooler.ErrBound) {
+		if errors.Is(err, pooler.ErrConnectionLimit) {
 			j.noConnection = append(j.noConnection, b.Incarnation)
 			return outcomeNoConnection
 		}
@@ -203,12 +203,12 @@
 	}
 	j.tried = append(j.tried, b.Incarnation)
 	defer a.Close()
-	fields := j.f.Wire.Marks(a.Status, a.Header)
+	fields := j.f.Wire.AnswerFields(a.Status, a.Header)
 	// A misdirected response comes from another incarnation, so it does not describe e.
-	if !fields.Moved {
+	if !fields.Misdirected {
 		j.f.Fleet.Observe(e, fields.State, sentAt)
 	}
-	if fields.NotRun || fields.Moved {
+	if fields.NotRun || fields.Misdirected {
 		j.mayHaveRun = mayHaveRunBefore
 		return j.handleNotRun(a, fields, e)
 	}
@@ -231,14 +231,14 @@
 	routers := float64(max(j.f.Fleet.Routers(), 1))
 	skew := min(max(routers/skewedRouters, 1), maxConnectionSkew)
 	share := int(connectionFraction * skew * float64(j.service.Connections) / routers)
-	return pooler.Target{ID: e.Name(), Address: e.Beat().Address, Most: max(share, minConnections)}
+	return pooler.Target{ID: e.Name(), Address: e.Beat().Address, MaxConnections: max(share, minConnections)}
 }
 
 // endpointRequest returns the request to send to the assigned endpoint.
-func (j *job) endpointRequest(w *predictor.Work) *pooler.Request {
-	s := Stamp{Deadline: time.Until(j.deadline), Endpoint: w.Endpoint().Beat().ID, Resume: j.lastEventID, Urgency: -1}
-	if d := w.Donor(); d != nil {
-		s.Donor = d.Beat().Address
+func (j *job) endpointRequest(w *predictor.Assignment) *pooler.Request {
+	s := EndpointFields{Deadline: time.Until(j.deadline), Endpoint: w.Endpoint().Beat().ID, LastEventID: j.lastEventID, Priority: -1}
+	if d := w.CacheSource(); d != nil {
+		s.CacheSource = d.Beat().Address
 		promptsFetched.Inc()
 	}
 	if j.workspace != nil {
@@ -246,19 +246,19 @@
 	}
 	return &pooler.Request{
 		Method: j.r.Method, URI: j.r.RequestURI, Host: j.r.Host,
-		Header: j.f.Wire.Forward(j.r.Header, s), Body: j.body, ID: j.caller.ID,
+		Header: j.f.Wire.EndpointHeader(j.r.Header, s), Body: j.body, ID: j.caller.ID,
 	}
 }
 
 // handleNotRun handles an answer stating that the request was not run.
-func (j *job) handleNotRun(a *pooler.Answer, m Marks, e *predictor.Endpoint) outcome {
+func (j *job) handleNotRun(a *pooler.Answer, m AnswerFields, e *predictor.Endpoint) outcome {
 	j.reason = "endpoint did not run it: " + http.StatusText(a.Status)
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxPlainAnswerBytes))
-	if m.Moved {
+	if m.Misdirected {
 		// The address belongs to another incarnation now.
-		e.Lose()
+		e.Exclude()
 	}
-	if a.Status == http.StatusBadRequest && err == nil && a.Ended() {
+	if a.Status == http.StatusBadRequest && err == nil && a.Complete() {
 		j.sendAnswer(a, body, false)
 		return outcomeDone
 	}
@@ -266,7 +266,7 @@
 }
 
 // passAnswer passes on the answer of an endpoint that may have run the request.
-func (j *job) passAnswer(ctx context.Context, a *pooler.Answer, assignment *predictor.Work) outcome {
+func (j *job) passAnswer(ctx context.Context, a *pooler.Answer, assignment *predictor.Assignment) outcome {
 	if j.route.Kind == publisher.Stream && a.Status == http.StatusOK {
 		return j.relay(ctx, a, assignment)
 	}
@@ -275,9 +275,9 @@
 		return outcomeLost
 	}
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxPlainAnswerBytes))
-	assignment.First(time.Now())
+	assignment.ObserveFirstByte(time.Now())
 	e := assignment.Endpoint()
-	if err != nil || !a.Ended() {
+	if err != nil || !a.Complete() {
 		j.reason = "answer broken off"
 		j.recordFailure(ctx, e)
 		return outcomeLost
@@ -324,7 +324,7 @@
 // copyHeader copies the header of an endpoint's answer to the caller's.
 func (j *job) copyHeader(a *pooler.Answer, unsigned bool) {
 	h := j.w.Header()
-	for k, v := range j.f.Wire.Back(a.Header, unsigned) {
+	for k, v := range j.f.Wire.CallerHeader(a.Header, unsigned) {
 		h[k] = v
 	}
 	if h["Content-Type"] == nil {
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -26,18 +26,18 @@
 	ErrSpent = merry.Sentinel("prepaid total does not cover the request")
 	// ErrRightsUnavailable means that the workspace may have unspent tokens that this
 	// router can't reserve now.
-	ErrRightsOutOfReach = merry.Sentinel("prepaid rights are out of reach")
+	ErrRightsUnavailable = merry.Sentinel("prepaid rights are out of reach")
 )
 
 // RightsUnavailable is ErrRightsUnavailable with the time after which tokens are expected
 // to be available.
-type OutOfReach struct{ After time.Duration }
+type RightsUnavailable struct{ After time.Duration }
 
 // Error returns the text of ErrRightsUnavailable.
-func (OutOfReach) Error() string { return ErrRightsOutOfReach.Error() }
+func (RightsUnavailable) Error() string { return ErrRightsUnavailable.Error() }
 
 // Unwrap returns ErrRightsUnavailable, for errors.Is.
-func (OutOfReach) Unwrap() error { return ErrRightsOutOfReach }
+func (RightsUnavailable) Unwrap() error { return ErrRightsUnavailable }
 
 const (
 	// defaultTimeout bounds requests without a shorter deadline or route timeout.
@@ -91,29 +91,29 @@
 	// AwaitConfiguration returns the configuration in force, or nil while a newer one is
 	// known to exist. Until the first configuration arrives, it waits for a moment; if none
 	// comes, it returns the time after which one is expected.
-	Await(ctx context.Context) (x *publisher.Index, after time.Duration)
+	AwaitConfiguration(ctx context.Context) (x *publisher.Index, after time.Duration)
 	// Routers returns the number of routers that share the fleet's limits; at least 1.
 	Routers() int
 	// AnnounceDispatch tells other routers about a prompt sent to an endpoint of a zone.
-	Dispatched(endpoint, zone string, d predictor.Dispatch)
+	AnnounceDispatch(endpoint, zone string, d predictor.Dispatch)
 	// Observe records the state that an endpoint reported in its response to a request sent
 	// at sentAt.
 	Observe(e *predictor.Endpoint, s predictor.State, sentAt time.Time)
 	// PartialDispatches reports whether only some of the other routers tell this one about
 	// their dispatches.
-	Partial() bool
+	PartialDispatches() bool
 }
 
 // Quarantine identifies requests that crash the endpoints that run them.
 type Quarantine interface {
 	// HeldFor returns for how much longer a request is held back; 0 if it is not.
-	Held(quarantiner.Fingerprint) time.Duration
+	HeldFor(quarantiner.Fingerprint) time.Duration
 	// RecordSuccess records that an endpoint answered a request completely and
 	// successfully.
-	Answered(quarantiner.Fingerprint)
+	RecordSuccess(quarantiner.Fingerprint)
 	// RecordBrokenOff records that an endpoint's connection ended before the answer was
 	// complete; underway is the time since the request was sent there.
-	BrokenOff(e *predictor.Endpoint, f quarantiner.Fingerprint, underway time.Duration)
+	RecordBrokenOff(e *predictor.Endpoint, f quarantiner.Fingerprint, underway time.Duration)
 }
 
 // Admission decides which requests this router accepts.
@@ -126,7 +126,7 @@
 }
 
 // Dependencies are the components that a forwarder uses.
-type Parts struct {
+type Dependencies struct {
 	Wire       Wire
 	Fleet      Fleet
 	Table      *predictor.Table
@@ -141,12 +141,12 @@
 
 // Forwarder is the HTTP handler for callers. It is safe for concurrent use.
 type Forwarder struct {
-	Parts
+	Dependencies
 	start time.Time
 }
 
 // New returns a forwarder.
-func New(p Parts) *Forwarder { return &Forwarder{Parts: p, start: time.Now()} }
+func New(p Dependencies) *Forwarder { return &Forwarder{Dependencies: p, start: time.Now()} }
 
 // ServeHTTP handles one request up to its final answer.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -215,7 +215,7 @@
 	if j.reservation != nil {
 		defer func() { j.reservation.Settle(j.spentTokens()) }()
 	}
-	j.f.Limiter.Request(j.startedAt, j.service.Name)
+	j.f.Limiter.RecordRequest(j.startedAt, j.service.Name)
 	j.runAttempts(ctx)
 }
 
@@ -225,14 +225,14 @@
 	if !j.mayHaveRun || j.caller.Prompt == nil {
 		return 0
 	}
-	return j.caller.Prompt.In + j.deliveredTokens
+	return j.caller.Prompt.InputTokens + j.deliveredTokens
 }
 
 // prepare finds the route, service and workspace and reads the body. It returns false if it
 // has given the final answer.
 func (j *job) prepare() bool {
 	var after time.Duration
-	if j.index, after = j.f.Fleet.Await(j.r.Context()); j.index == nil {
+	if j.index, after = j.f.Fleet.AwaitConfiguration(j.r.Context()); j.index == nil {
 		return j.refuseFor(after, http.StatusServiceUnavailable, "no current configuration")
 	}
 	c, err := j.f.Wire.Caller(j.r.Header)
@@ -293,7 +293,7 @@
 // authenticate finds the workspace of the caller's key. It refuses unknown keys on routes
 // that need one.
 func (j *job) authenticate() bool {
-	if !j.index.Document().Keyed || j.route.Public {
+	if !j.index.Document().RequiresKeys || j.route.Public {
 		return true
 	}
 	j.workspace = j.index.Workspace(j.caller.Key)
@@ -326,7 +326,7 @@
 // checkQuarantine refuses a request that has crashed endpoints. It would crash the next one
 // as well, fail, and break off all other requests running there.
 func (j *job) checkQuarantine() bool {
-	remaining := j.f.Quarantine.Held(j.fingerprint)
+	remaining := j.f.Quarantine.HeldFor(j.fingerprint)
 	if remaining == 0 {
 		return true
 	}
@@ -365,7 +365,7 @@
 	if j.workspace == nil || j.workspace.Prepaid == nil || j.caller.Prompt == nil {
 		return true
 	}
-	r, err := j.f.Rights.Reserve(ctx, j.workspace.Name, j.caller.Prompt.In+j.caller.Prompt.Out)
+	r, err := j.f.Rights.Reserve(ctx, j.workspace.Name, j.caller.Prompt.InputTokens+j.caller.Prompt.MaxOutputTokens)
 	switch {
 	case err == nil:
 		j.reservation = r
@@ -373,7 +373,7 @@
 	case errors.Is(err, ErrSpent):
 		return j.fail(http.StatusPaymentRequired, "prepaid total is spent")
 	default:
-		var out OutOfReach
+		var out RightsUnavailable
 		if !errors.As(err, &out) {
 			return j.refuse(http.StatusServiceUnavailable, err.Error())
 		}
@@ -415,13 +415,13 @@
 // returns "".
 func (j *job) missedObjective() string {
 	switch {
-	case j.route == nil || j.route.Objective <= 0:
+	case j.route == nil || j.route.LatencyObjective <= 0:
 		return ""
-	case j.events > 0 && j.firstEvent > j.route.Objective:
+	case j.events > 0 && j.firstEvent > j.route.LatencyObjective:
 		return "first event"
-	case j.events > 0 && j.route.Pause > 0 && j.longestPause > j.route.Pause:
+	case j.events > 0 && j.route.MaxEventGap > 0 && j.longestPause > j.route.MaxEventGap:
 		return "pause"
-	case j.events == 0 && time.Since(j.startedAt) > j.route.Objective:
+	case j.events == 0 && time.Since(j.startedAt) > j.route.LatencyObjective:
 		return "answer"
 	}
 	return ""
@@ -448,7 +448,7 @@
 			zap.Duration("pause", j.longestPause), zap.Int("events", j.events), zap.Int64("unread", j.uncachedTokens))
 	}
 	if p := j.caller.Prompt; p != nil {
-		fields = append(fields, zap.Int64("prompt", p.In))
+		fields = append(fields, zap.Int64("prompt", p.InputTokens))
 	}
 	if l := j.missedObjective(); l != "" {
 		fields = append(fields, zap.String("late", l))
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -42,7 +42,7 @@
 	g.Expect(w.send(t, "GET", "/read/x", "", "Api-Key", "other").status).To(gomega.Equal(401))
 	w.rights.err = forwarder.ErrSpent
 	g.Expect(w.send(t, "POST", "/stream/x", "", "Rattanhoist-Token-Usage", "10,20").status).To(gomega.Equal(402))
-	w.rights.err = forwarder.ErrRightsOutOfReach
+	w.rights.err = forwarder.ErrRightsUnavailable
 	a := w.send(t, "POST", "/stream/x", "", "Rattanhoist-Token-Usage", "10,20")
 	g.Expect(a.status).To(gomega.Equal(503))
 	g.Expect(a.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
@@ -218,7 +218,7 @@
 	go func() {
 		<-silent
 		time.Sleep(20 * time.Millisecond)
-		w.pool.End("e1")
+		w.pool.CloseAll("e1")
 	}()
 	for len(silentEndpoint.requests()) == 0 {
 		a := w.send(t, "POST", "/resume/x", "b", "Rattanhoist-Token-Usage", "10,20")
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -20,7 +20,7 @@
 
 // relay passes events on as they arrive. An incomplete event is held back, so that the
 // stream can be resumed at another endpoint after the last complete one.
-func (j *job) relay(ctx context.Context, a *pooler.Answer, assignment *predictor.Work) outcome {
+func (j *job) relay(ctx context.Context, a *pooler.Answer, assignment *predictor.Assignment) outcome {
 	events := bufio.NewReaderSize(a.Body, relayBuffer)
 	for {
 		event, err := readEvent(events)
@@ -32,7 +32,7 @@
 			}
 			continue
 		}
-		if err == io.EOF && a.Ended() && len(event) == 0 && !a.Unframed {
+		if err == io.EOF && a.Complete() && len(event) == 0 && !a.CloseDelimited {
 			j.recordSuccess(a.Status, assignment.Endpoint())
 			j.sendHead(a)
 			j.logEnd(a.Status, "")
@@ -43,8 +43,8 @@
 }
 
 // handleBrokenOff handles a stream that ended before its final event.
-func (j *job) handleBrokenOff(ctx context.Context, a *pooler.Answer, assignment *predictor.Work, event []byte, err error) outcome {
-	if err == io.EOF && a.Unframed && len(event) == 0 && j.headSent {
+func (j *job) handleBrokenOff(ctx context.Context, a *pooler.Answer, assignment *predictor.Assignment, event []byte, err error) outcome {
+	if err == io.EOF && a.CloseDelimited && len(event) == 0 && j.headSent {
 		// Without a length or chunks, the end of the connection is the end of the answer.
 		j.logEnd(a.Status, "unframed")
 		return outcomeDone
@@ -71,14 +71,14 @@
 }
 
 // recordEvent updates the latency figures of the stream with the arrival of an event.
-func (j *job) recordEvent(now time.Time, assignment *predictor.Work) {
+func (j *job) recordEvent(now time.Time, assignment *predictor.Assignment) {
 	if j.events == 0 {
-		j.firstEvent, j.predictedFirstEvent = now.Sub(j.startedAt), assignment.Predicted()
-		j.uncachedTokens = assignment.Unread()
+		j.firstEvent, j.predictedFirstEvent = now.Sub(j.startedAt), assignment.PredictedFirstEvent()
+		j.uncachedTokens = assignment.UncachedTokens()
 	} else {
 		j.longestPause = max(j.longestPause, now.Sub(j.lastEventAt))
 	}
-	assignment.First(now)
+	assignment.ObserveFirstByte(now)
 	j.events++
 	j.lastEventAt = now
 }
@@ -93,7 +93,7 @@
 	// Counted before the write: a caller that has received the event must be charged for
 	// it.
 	if e := j.service.Engine; e != nil {
-		j.deliveredTokens += max(e.Stride, 1)
+		j.deliveredTokens += max(e.MaxTokensPerEvent, 1)
 	}
 	if _, err := j.w.Write(event); err != nil {
 		return false
--- a/forwarder/testrouter_test.go
+++ b/forwarder/testrouter_test.go
@@ -159,13 +159,15 @@
 
 type fleetStub struct{ index *publisher.Index }
 
-func (f fleetStub) Await(context.Context) (*publisher.Index, time.Duration) { return f.index, 0 }
-func (f fleetStub) Routers() int                                            { return 1 }
-func (f fleetStub) Dispatched(string, string, predictor.Dispatch)           {}
+func (f fleetStub) AwaitConfiguration(context.Context) (*publisher.Index, time.Duration) {
+	return f.index, 0
+}
+func (f fleetStub) Routers() int                                        { return 1 }
+func (f fleetStub) AnnounceDispatch(string, string, predictor.Dispatch) {}
 func (f fleetStub) Observe(e *predictor.Endpoint, s predictor.State, sentAt time.Time) {
 	e.Observe(s, sentAt, time.Now())
 }
-func (f fleetStub) Partial() bool { return false }
+func (f fleetStub) PartialDispatches() bool { return false }
 
 // testRouter is a router in front of scripted endpoints.
 type testRouter struct {
@@ -194,13 +196,13 @@
 		}
 	}
 	return &publisher.Document{
-		Number: 3, Keyed: true,
+		Number: 3, RequiresKeys: true,
 		Routes: []publisher.Route{
-			route("read", "/read/", publisher.Idempotent, false), route("once", "/once/", publisher.Once, false),
+			route("read", "/read/", publisher.Idempotent, false), route("once", "/once/", publisher.AtMostOnce, false),
 			route("stream", "/stream/", publisher.Stream, false), route("resume", "/resume/", publisher.Stream, true),
 			restrictedTo(route("north", "/north/", publisher.Idempotent, false), "north"), restrictedTo(route("nowhere", "/nowhere/", publisher.Idempotent, false), "nowhere"),
 		},
-		Services:   []publisher.Service{{Name: "engine", Connections: 50, Engine: &publisher.Engine{Stride: 6, Slots: 8}}},
+		Services:   []publisher.Service{{Name: "engine", Connections: 50, Engine: &publisher.Engine{MaxTokensPerEvent: 6, Slots: 8}}},
 		Workspaces: []publisher.Workspace{{Name: "labone", Keys: []string{"k1"}, Prepaid: &prepaid}},
 	}
 }
@@ -217,18 +219,18 @@
 
 func newTestRouterInZones(t *testing.T, zone func(int) string, endpoints ...*endpoint) *testRouter {
 	w := &testRouter{
-		rights: &rightsStub{}, table: predictor.NewTable("z"), pool: pooler.New(platform.Belongs, func() {}), quarantine: &quarantineStub{},
+		rights: &rightsStub{}, table: predictor.NewTable("z"), pool: pooler.New(platform.ClassifyResponse, func() {}), quarantine: &quarantineStub{},
 		admission: &admissionStub{},
 	}
 	var list []*predictor.Endpoint
 	for i, e := range endpoints {
-		list = append(list, predictor.NewEndpoint(enroller.Beat{
+		list = append(list, predictor.NewEndpoint(enroller.Heartbeat{
 			Incarnation: enroller.Incarnation{ID: "e" + string(rune('1'+i))}, Service: "engine", Address: e.listener.Addr().String(), Zone: zone(i), Slots: 8,
 		}))
 	}
 	w.table.Replace(map[string][]*predictor.Endpoint{"engine": list})
-	f := forwarder.New(forwarder.Parts{
-		Wire: platform.Wire{}, Fleet: fleetStub{publisher.NewIndex(document(), localizer.New(map[string]string{"z": "north"}))}, Table: w.table,
+	f := forwarder.New(forwarder.Dependencies{
+		Wire: platform.HeaderCodec{}, Fleet: fleetStub{publisher.NewIndex(document(), localizer.New(map[string]string{"z": "north"}))}, Table: w.table,
 		Pool: w.pool, Rights: w.rights, Quarantine: w.quarantine, Admission: w.admission, Log: zap.NewNop(),
 		Limiter: limiter.New(limiter.Budget{Ratio: 1, Slack: 50, Window: budgetWindow}, time.Now()),
 	})
@@ -273,19 +275,19 @@
 	heldFor          time.Duration
 }
 
-func (q *quarantineStub) Held(quarantiner.Fingerprint) time.Duration {
+func (q *quarantineStub) HeldFor(quarantiner.Fingerprint) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.heldFor
 }
 
-func (q *quarantineStub) Answered(f quarantiner.Fingerprint) {
+func (q *quarantineStub) RecordSuccess(f quarantiner.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.answered = append(q.answered, f)
 }
 
-func (q *quarantineStub) BrokenOff(_ *predictor.Endpoint, f quarantiner.Fingerprint, _ time.Duration) {
+func (q *quarantineStub) RecordBrokenOff(_ *predictor.Endpoint, f quarantiner.Fingerprint, _ time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.broken = append(q.broken, f)
--- a/forwarder/wire.go
+++ b/forwarder/wire.go
@@ -23,7 +23,7 @@
 
 // EndpointFields holds the values that the router itself sends to the endpoint in the
 // request's header.
-type Stamp struct {
+type EndpointFields struct {
 	// Deadline is the time that is left for the answer.
 	Deadline time.Duration
 	// Endpoint is the id of the endpoint that the request is meant for.
@@ -31,21 +31,21 @@
 	// Workspace is "" on routes without keys.
 	Workspace string
 	// LastEventID is the id of the last complete event passed on, or "".
-	Resume string
+	LastEventID string
 	// CacheSource is the address of an endpoint from which to fetch cached parts of the
 	// prompt, or "".
-	Donor string
+	CacheSource string
 	// Priority is the scheduling priority at the engine, from 0, the most urgent, to 9; -1
 	// omits it.
-	Urgency int
+	Priority int
 }
 
 // AnswerFields holds the values in the header of an endpoint's answer.
-type Marks struct {
+type AnswerFields struct {
 	// NotRun is set if the endpoint did not run the request and never will.
 	NotRun bool
 	// Misdirected is set if another incarnation uses the address now; nothing was run.
-	Moved bool
+	Misdirected bool
 	// Signed is set if the answer has an endpoint's signature.
 	Signed bool
 	// State is what the endpoint reports about itself.
@@ -59,12 +59,12 @@
 	// EndpointHeader returns the header of the request to the endpoint: the caller's header
 	// without the fields that concern one connection or that only the router may set, plus
 	// the given fields.
-	Forward(h http.Header, s Stamp) http.Header
+	EndpointHeader(h http.Header, s EndpointFields) http.Header
 	// AnswerFields reads an endpoint's answer.
-	Marks(status int, h http.Header) Marks
+	AnswerFields(status int, h http.Header) AnswerFields
 	// CallerHeader returns the header of the answer to the caller. If unsigned is set, it removes
 	// the signature.
-	Back(h http.Header, unsigned bool) http.Header
+	CallerHeader(h http.Header, unsigned bool) http.Header
 	// RetryAfter sets the time in h after which to send the request again.
 	RetryAfter(h http.Header, d time.Duration)
 }
--- a/governor/governor.go
+++ b/governor/governor.go
@@ -89,15 +89,15 @@
 	case *messenger.FleetChange_Document:
 		g.applyDocument(b.Document)
 	case *messenger.FleetChange_Rights:
-		return g.ledger.Claim(b.Rights)
+		return g.ledger.ApplyClaims(b.Rights)
 	case *messenger.FleetChange_Batch:
 		var out []*messenger.RightsGrants
 		for _, r := range b.Batch.Changes {
-			out = append(out, g.ledger.Claim(r))
+			out = append(out, g.ledger.ApplyClaims(r))
 		}
 		return out
 	case *messenger.FleetChange_Leave:
-		g.applyLeave(enroller.LeaveOf(b.Leave))
+		g.applyLeave(enroller.IncarnationFromLeave(b.Leave))
 	case *messenger.FleetChange_Quarantine:
 		g.applyQuarantine(b.Quarantine)
 	case *messenger.FleetChange_Evacuation:
@@ -133,7 +133,7 @@
 func (g *StateMachine) applyQuarantine(c *messenger.QuarantineChange) {
 	list := slices.Clone(g.quarantines)
 	for _, x := range c.Requests {
-		f := quarantiner.FingerprintOf(x)
+		f := quarantiner.FingerprintFromMessage(x)
 		same := func(q Quarantine) bool { return q.Request == f }
 		i := slices.IndexFunc(list, same)
 		if held := i >= 0 && list[i].UntilMS > c.AtMs; held == (c.UntilMs > c.AtMs) {
@@ -152,10 +152,10 @@
 func (g *StateMachine) Snapshot() []byte {
 	s := &messenger.FleetSnapshot{Number: g.document.number, Content: g.document.content, Evacuations: g.evacuations.Message()}
 	for _, i := range g.leftEndpoints {
-		s.Left = append(s.Left, i.Leave())
+		s.Left = append(s.Left, i.LeaveChange())
 	}
 	for _, q := range g.quarantines {
-		s.Quarantined = append(s.Quarantined, &messenger.Quarantine{Request: q.Request.Content(), Number: q.Number, UntilMs: q.UntilMS})
+		s.Quarantined = append(s.Quarantined, &messenger.Quarantine{Request: q.Request.Message(), Number: q.Number, UntilMs: q.UntilMS})
 	}
 	g.ledger.Snapshot(s)
 	b, err := proto.Marshal(s)
@@ -176,11 +176,11 @@
 	g.document = &Document{number: s.Number, content: s.Content}
 	g.leftEndpoints = nil
 	for _, l := range s.Left {
-		g.leftEndpoints = append(g.leftEndpoints, enroller.LeaveOf(l))
+		g.leftEndpoints = append(g.leftEndpoints, enroller.IncarnationFromLeave(l))
 	}
 	g.quarantines = nil
 	for _, q := range s.Quarantined {
-		g.quarantines = append(g.quarantines, Quarantine{Request: quarantiner.FingerprintOf(q.Request), Number: q.Number, UntilMS: q.UntilMs})
+		g.quarantines = append(g.quarantines, Quarantine{Request: quarantiner.FingerprintFromMessage(q.Request), Number: q.Number, UntilMS: q.UntilMs})
 	}
 	g.ledger = allotter.Restore(s)
 	g.evacuations = evacuationsFromMessage(s.Evacuations)
--- a/governor/governor_test.go
+++ b/governor/governor_test.go
@@ -37,7 +37,7 @@
 	apply(t, s, document(7, "other", 1))
 	g.Expect(s.Document().Number()).To(gomega.Equal(uint64(7)))
 	g.Expect(string(s.Document().Content())).To(gomega.Equal("seven"))
-	g.Expect(s.Ledger().Left("w")).To(gomega.Equal(int64(100)))
+	g.Expect(s.Ledger().Unallocated("w")).To(gomega.Equal(int64(100)))
 }
 
 // A prepaid total is credited once, however often its document is sent; a raised total
@@ -53,7 +53,7 @@
 	g.Expect(again.Grants[0].Granted).To(gomega.Equal(int64(80)), "the same claim, committed twice")
 	apply(t, s, document(1, "a", 100))
 	apply(t, s, document(2, "b", 150))
-	g.Expect(s.Ledger().Left("w")).To(gomega.Equal(int64(70)))
+	g.Expect(s.Ledger().Unallocated("w")).To(gomega.Equal(int64(70)))
 }
 
 func TestSnapshotHoldsEverything(t *testing.T) {
@@ -68,7 +68,7 @@
 	g.Expect(copied.Restore(s.Snapshot())).To(gomega.Succeed())
 	g.Expect(copied.Snapshot()).To(gomega.Equal(s.Snapshot()))
 	g.Expect(copied.LeftEndpoints()).To(gomega.Equal([]enroller.Incarnation{{ID: "e", BornMS: 3}}))
-	g.Expect(copied.Ledger().Left("w")).To(gomega.Equal(int64(70)))
+	g.Expect(copied.Ledger().Unallocated("w")).To(gomega.Equal(int64(70)))
 }
 
 func quarantineChange(at, until int64, sums ...uint64) *messenger.FleetChange {
--- a/joiner/core.go
+++ b/joiner/core.go
@@ -46,20 +46,20 @@
 	// JoinOnly prevents the arrival from starting a run.
 	JoinOnly bool
 	// FirstAttempt is set if no earlier attempt can have run elsewhere.
-	First bool
+	FirstAttempt bool
 }
 
 // Leave is the departure of a waiter, with or without a response.
 type Leave struct{ Key rattanhoist.RequestKey }
 
 // Outcome is the outcome of a run.
-type How int
+type Outcome int
 
 // Outcomes of a run.
 const (
 	// Answered means that the run succeeded; its response is stored for
 	// retries.
-	Answered How = iota
+	Answered Outcome = iota
 	// Failed means that the request may have run; this fact is stored, and a
 	// retry starts a new run.
 	Failed
@@ -69,9 +69,9 @@
 
 // End is the end of a run.
 type End struct {
-	Key  rattanhoist.RequestKey
-	Size int64
-	How  How
+	Key     rattanhoist.RequestKey
+	Size    int64
+	Outcome Outcome
 }
 
 // Tick advances the time.
@@ -89,7 +89,7 @@
 // at this router may have been dispatched.
 type Start struct {
 	Key   rattanhoist.RequestKey
-	Again bool
+	Rerun bool
 }
 
 // Join lets the arrival wait for the run in progress or get the stored response.
@@ -201,7 +201,7 @@
 	case e.failed:
 		c.forget(e)
 		c.addEntry(a)
-		return []Action{Start{Key: a.Key, Again: true}}
+		return []Action{Start{Key: a.Key, Rerun: true}}
 	}
 	e.waiters++
 	if a.Deadline.After(e.deadline) {
@@ -232,13 +232,13 @@
 	if e == nil || e.element != nil {
 		return nil
 	}
-	if d.How == NotRun {
+	if d.Outcome == NotRun {
 		delete(c.entries, d.Key)
 		return []Action{Forget{Key: d.Key}}
 	}
-	e.failed = d.How == Failed
+	e.failed = d.Outcome == Failed
 	e.size = entryBytes
-	if d.How == Answered {
+	if d.Outcome == Answered {
 		e.size += d.Size
 	}
 	e.element = c.finished.PushBack(e)
--- a/joiner/joiner.go
+++ b/joiner/joiner.go
@@ -14,9 +14,9 @@
 // Errors of an arrival. Compare with errors.Is.
 var (
 	// ErrIDReused is returned if the id belongs to a different request.
-	ErrReused = merry.Sentinel("the request id was used for another request")
+	ErrIDReused = merry.Sentinel("the request id was used for another request")
 	// ErrNotFound is returned if there is no run and no response for the id.
-	ErrAbsent = merry.Sentinel("no run and no answer is remembered")
+	ErrNotFound = merry.Sentinel("no run and no answer is remembered")
 )
 
 // shardCount is the number of shards, each with its own lock to reduce
@@ -66,17 +66,17 @@
 		case Start:
 			counters.Add("runs_begun", 1)
 			s.runs[a.Key] = newRun()
-			s.runs[a.Key].proven = a.First && !x.Again
+			s.runs[a.Key].proven = a.FirstAttempt && !x.Rerun
 			return s.runs[a.Key], true, nil
 		case Join:
 			counters.Add("arrivals_joined", 1)
 			return s.runs[a.Key], false, nil
 		case Reused:
 			counters.Add("ids_reused", 1)
-			return nil, false, ErrReused
+			return nil, false, ErrIDReused
 		}
 	}
-	return nil, false, ErrAbsent
+	return nil, false, ErrNotFound
 }
 
 // Leave records that a waiter of a run has its response or has gone. It ignores
@@ -118,7 +118,7 @@
 	s := j.shard(k)
 	s.mu.Lock()
 	if s.runs[k] == run {
-		s.apply(s.core.Step(now, End{Key: k, Size: run.Length(), How: how}))
+		s.apply(s.core.Step(now, End{Key: k, Size: run.Length(), Outcome: how}))
 	}
 	s.mu.Unlock()
 	run.end(a, err)
--- a/joiner/joiner_test.go
+++ b/joiner/joiner_test.go
@@ -83,7 +83,7 @@
 	case fresh && a.JoinOnly:
 		o.want(last, joiner.Absent{Key: k})
 	case fresh:
-		o.want(last, joiner.Start{Key: k, Again: x != nil})
+		o.want(last, joiner.Start{Key: k, Rerun: x != nil})
 		o.book[k] = &known{digest: a.Digest, running: true, pinned: a.Pinned, waiters: 1, deadline: a.Deadline}
 	default:
 		o.want(last, joiner.Join{Key: k})
@@ -115,14 +115,14 @@
 	if x == nil || !x.running {
 		return
 	}
-	e := joiner.End{Key: k, Size: int64(rapid.IntRange(0, 1500).Draw(o.t, "size")), How: joiner.How(rapid.IntRange(0, 2).Draw(o.t, "how"))}
+	e := joiner.End{Key: k, Size: int64(rapid.IntRange(0, 1500).Draw(o.t, "size")), Outcome: joiner.Outcome(rapid.IntRange(0, 2).Draw(o.t, "how"))}
 	actions := o.core.Step(o.now, e)
-	if e.How == joiner.NotRun {
+	if e.Outcome == joiner.NotRun {
 		delete(o.book, k)
 		return
 	}
 	o.ended++
-	x.running, x.ran, x.ended = false, e.How == joiner.Failed, o.ended
+	x.running, x.ran, x.ended = false, e.Outcome == joiner.Failed, o.ended
 	for _, a := range actions {
 		f := a.(joiner.Forget)
 		for other, y := range o.book {
@@ -191,7 +191,7 @@
 		g.Expect(run.Append(40, "x")).To(gomega.MatchError(joiner.ErrGap))
 		text, ended, err := run.Next(context.Background(), 0)
 		g.Expect(string(text), ended, err).To(gomega.Equal("Gabès "))
-		g.Expect(run.Begin(joiner.Stream{ID: "other"})).To(gomega.MatchError(joiner.ErrPassed))
+		g.Expect(run.Begin(joiner.Stream{ID: "other"})).To(gomega.MatchError(joiner.ErrStreamChanged))
 		j.End(time.Now(), k, run, &joiner.Answer{Length: 9}, nil)
 		text, _, _ = run.Next(context.Background(), len(text))
 		g.Expect(string(text)).To(gomega.Equal("é"))
@@ -208,14 +208,14 @@
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	j := joiner.New(joiner.Limits{Grace: time.Second, Keep: time.Minute, MaxBytes: 1 << 20})
-	a := joiner.Arrive{Key: rattanhoist.NewRequestKey("w", "a"), Deadline: now.Add(time.Minute), First: true}
+	a := joiner.Arrive{Key: rattanhoist.NewRequestKey("w", "a"), Deadline: now.Add(time.Minute), FirstAttempt: true}
 	run, _, _ := j.Arrive(now, a)
 	_, _, _ = j.Arrive(now, a)
 	g.Expect(j.Stop(a.Key, run)).To(gomega.BeFalse(), "another waiter is left")
 	j.Leave(now, a.Key, run)
 	g.Expect(run.Dispatch()).To(gomega.Succeed())
 	g.Expect(j.Stop(a.Key, run)).To(gomega.BeFalse(), "dispatched")
-	run.Undispatch()
+	run.UndoDispatch()
 	g.Expect(j.Stop(a.Key, run)).To(gomega.BeTrue())
 	g.Expect(run.Dispatch()).To(gomega.MatchError(joiner.ErrStopped))
 	j.End(now, a.Key, run, nil, joiner.ErrStopped)
--- a/joiner/run.go
+++ b/joiner/run.go
@@ -16,7 +16,7 @@
 	// ErrStopped is returned if the run was stopped before its dispatch.
 	ErrStopped = merry.Sentinel("the run was stopped before its dispatch")
 	// ErrStreamChanged is returned if a waiter already got bytes of another stream.
-	ErrPassed = merry.Sentinel("bytes of another run have been passed on")
+	ErrStreamChanged = merry.Sentinel("bytes of another run have been passed on")
 	// ErrGap is returned if bytes of the response are missing.
 	ErrGap = merry.Sentinel("bytes of the answer are missing")
 )
@@ -92,7 +92,7 @@
 
 // MarkFirstAttempt records that no earlier attempt of the request can have run.
 // After that, a successful Stop proves that the request did not run.
-func (r *Run) Prove() {
+func (r *Run) MarkFirstAttempt() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.proven = true
@@ -113,7 +113,7 @@
 
 // UndoDispatch undoes one Dispatch whose request certainly did not reach the
 // endpoint.
-func (r *Run) Undispatch() {
+func (r *Run) UndoDispatch() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dispatches--
@@ -143,7 +143,7 @@
 			return
 		}
 		if r.delivered > 0 {
-			err = ErrPassed
+			err = ErrStreamChanged
 			return
 		}
 		r.text, r.visible, r.stream = nil, 0, s
@@ -152,7 +152,7 @@
 }
 
 // SetFollowing sets whether the bytes come from another router's run.
-func (r *Run) Follow(following bool) {
+func (r *Run) SetFollowing(following bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.following = following
@@ -201,7 +201,7 @@
 }
 
 // AnyDelivered reports whether a waiter has read any bytes.
-func (r *Run) Seen() bool {
+func (r *Run) AnyDelivered() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.delivered > 0
--- a/keeper/bill_claims.go
+++ b/keeper/bill_claims.go
@@ -118,7 +118,7 @@
 
 // markClaimed settles the rows of which every request has been answered.
 func (r *claimRound) markClaimed(ctx context.Context) {
-	done := budgeter.BillsClaimed{Counting: map[string][]string{}}
+	done := budgeter.SettleClaims{Counting: map[string][]string{}}
 	for name, row := range r.rows {
 		var zones []string
 		for _, key := range row.RequestKeys {
--- a/keeper/budget.go
+++ b/keeper/budget.go
@@ -35,7 +35,7 @@
 		keeper: k, sender: sender, shares: newShares(),
 		loop:    newVaultLoop(k.self.Zone(), k.store, sender, k.log),
 		copies:  &copyStore{store: k.store, log: k.log},
-		monitor: routerMonitor{lastAnswer: map[string]time.Time{}, reports: map[string]budgeter.Heard{}},
+		monitor: routerMonitor{lastAnswer: map[string]time.Time{}, reports: map[string]budgeter.RouterReport{}},
 	}
 	s.pruner = newPruner(s, k.settings.Policy().KeepCharges())
 	return s
@@ -99,7 +99,7 @@
 
 // Return takes unused rights back from a router.
 func (s *budgetServer) Return(ctx context.Context, r *messenger.ReturnRequest) (*messenger.ReturnReply, error) {
-	return grpcReply[*messenger.ReturnReply](s.loop.handle(ctx, budgeter.Return{Request: r}))
+	return grpcReply[*messenger.ReturnReply](s.loop.handle(ctx, budgeter.ReturnRights{Request: r}))
 }
 
 // Witness stores charges on behalf of another zone's keeper.
@@ -149,7 +149,7 @@
 	if s.loop.currentMode() == budgeter.ModeMarking {
 		return nil, status.Error(codes.Unavailable, errNotDurable.Error())
 	}
-	return grpcReply[*messenger.MarkReply](s.loop.handle(ctx, budgeter.Mark{Request: r}))
+	return grpcReply[*messenger.MarkReply](s.loop.handle(ctx, budgeter.RecordSoloMark{Request: r}))
 }
 
 // Ask transfers rights to another zone. If routers of this zone hold leases,
@@ -158,7 +158,7 @@
 func (s *budgetServer) Ask(ctx context.Context, r *messenger.AskRequest) (*messenger.AskReply, error) {
 	g := &rightsCollector{server: s, workspace: r.Workspace, want: r.WantTokens}
 	g.recallFromRouters(ctx, "")
-	return grpcReply[*messenger.AskReply](s.loop.handle(ctx, budgeter.Ask{Request: r}))
+	return grpcReply[*messenger.AskReply](s.loop.handle(ctx, budgeter.RequestTransfer{Request: r}))
 }
 
 // ClaimBills records which zone billed a request first.
@@ -182,7 +182,7 @@
 
 // Give accepts transfers of rights from another zone.
 func (s *budgetServer) Give(ctx context.Context, r *messenger.GiveRequest) (*messenger.GiveReply, error) {
-	return grpcReply[*messenger.GiveReply](s.loop.handle(ctx, budgeter.Receive{Request: r}))
+	return grpcReply[*messenger.GiveReply](s.loop.handle(ctx, budgeter.ReceiveTransfers{Request: r}))
 }
 
 // Books returns the accounts of a workspace from every zone that answers.
--- a/keeper/claims.go
+++ b/keeper/claims.go
@@ -20,7 +20,7 @@
 	// newDiskWait is how long a keeper with a new disk waits before it copies
 	// the others' claims. It exceeds the duration of any claim attempt, even
 	// if a clock runs at half speed.
-	newDiskWait       = 2 * claimer.ClaimTime
+	newDiskWait       = 2 * claimer.ClaimTimeout
 	copyRetryInterval = 500 * time.Millisecond
 	// expiryInterval is how often claims past their horizon are dropped.
 	expiryInterval = time.Minute
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_, rows := splitActions(s.core.Name(name.String()))
+	_, rows := splitActions(s.core.SetStore(name.String()))
 	return s, k.store.Apply(rows)
 }
 
@@ -73,8 +73,8 @@
 // present keys.
 func (s *claimServer) migrateNamedRows() error {
 	var rows []storer.Row
-	err := s.keeper.store.Each(claimer.BucketNamed, func(name string, value []byte) error {
-		actions, err := s.core.Move(name, value)
+	err := s.keeper.store.Each(claimer.BucketLegacy, func(name string, value []byte) error {
+		actions, err := s.core.MigrateRow(name, value)
 		_, moved := splitActions(actions)
 		rows = append(rows, moved...)
 		return err
@@ -222,7 +222,7 @@
 func (s *claimServer) Rows(r *messenger.RowsRequest, out messenger.ClaimKeeper_RowsServer) error {
 	head := &messenger.RowsReply{}
 	_, err := s.submit(out.Context(), claimCall{read: func(c *claimer.Core) {
-		head.Fresh, head.Store, head.Founded = !c.IsOpen(), c.Store(), c.Founded(r.Store)
+		head.Fresh, head.Store, head.Founded = !c.IsOpen(), c.Store(), c.IsFounder(r.Store)
 	}})
 	if err != nil {
 		return err
@@ -249,7 +249,7 @@
 // to attempts that the new disk could not have voted for before it was lost.
 func (s *claimServer) readRowsFrom(first string, part *messenger.RowsReply) (next string, err error) {
 	err = s.keeper.store.View(func(v storer.View) error {
-		return v.From(claimer.BucketClaims, first, func(key string, value []byte) error {
+		return v.EachFrom(claimer.BucketClaims, first, func(key string, value []byte) error {
 			if len(part.Rows) >= maxRowsPerMessage {
 				next = key
 				return errStopIteration
@@ -318,7 +318,7 @@
 		return o, true
 	}
 	o.Founders = nil
-	return o, founded || old >= claimer.OpenAfter(len(s.keeper.peers.keepers)+1)
+	return o, founded || old >= claimer.CopiesToOpen(len(s.keeper.peers.keepers)+1)
 }
 
 // olderThanHorizon reports whether a disk is so old that every vote of its
@@ -330,7 +330,7 @@
 		return false
 	}
 	sec, ns := u.Time().UnixTime()
-	return time.Since(time.Unix(sec, ns)) > claimer.Horizon
+	return time.Since(time.Unix(sec, ns)) > claimer.Retention
 }
 
 // fetchClaimRows reads all claims of one keeper.
--- a/keeper/claims_test.go
+++ b/keeper/claims_test.go
@@ -116,7 +116,7 @@
 		Workspace: "w", RequestId: "old", State: messenger.ClaimState_CLAIM_STATE_GRANTED, WrittenAtMs: time.Now().UnixMilli(),
 	})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(store.Apply([]storer.Row{{Bucket: claimer.BucketNamed, Key: "w/old", Value: old}})).To(gomega.Succeed())
+	g.Expect(store.Apply([]storer.Row{{Bucket: claimer.BucketLegacy, Key: "w/old", Value: old}})).To(gomega.Succeed())
 	s = restartedClaims(t, store)
 	seen := map[string]bool{}
 	parts := 0
--- a/keeper/configuration.go
+++ b/keeper/configuration.go
@@ -102,7 +102,7 @@
 		kept    bool
 	}
 	got, err := viewBook(ctx, s.loop, func(b *configurer.Book) since {
-		changes, kept := b.Since(r.AfterVersion)
+		changes, kept := b.ChangesSince(r.AfterVersion)
 		return since{changes, kept}
 	})
 	if err != nil {
--- a/keeper/configuration_watch.go
+++ b/keeper/configuration_watch.go
@@ -19,7 +19,7 @@
 // no subscriber until a majority has confirmed the copy.
 func (s *configurationServer) Watch(r *messenger.WatchRequest, w grpc.ServerStreamingServer[messenger.Update]) error {
 	sub := subscriberState{version: r.Version, digest: r.Digest, confirmed: s.barrier(w.Context()) == nil}
-	if st := s.loop.State(); !sub.confirmed && !st.Votes() && st.ConfirmedAt().IsZero() {
+	if st := s.loop.State(); !sub.confirmed && !st.IsVoter() && st.ConfirmedAt().IsZero() {
 		return s.noMajorityError("this keeper's copy may be incomplete")
 	}
 	t := time.NewTicker(heartbeatInterval)
@@ -74,7 +74,7 @@
 // missingUpdate returns the part of the book that a subscriber lacks.
 func (s *configurationServer) missingUpdate(b *configurer.Book, has subscriberState) *messenger.Update {
 	u := &messenger.Update{Version: b.Version(), Digest: b.Digest(), BaseVersion: has.version}
-	changes, kept := b.Since(has.version)
+	changes, kept := b.ChangesSince(has.version)
 	if !kept || has.version == u.Version && has.digest != u.Digest {
 		u.Configuration = s.loop.configuration()
 		return u
@@ -89,7 +89,7 @@
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-s.loop.Ended():
+	case <-s.loop.Done():
 		return s.noMajorityError("the keeper stops")
 	case <-changed:
 	case <-beat:
--- a/keeper/copy_store.go
+++ b/keeper/copy_store.go
@@ -65,7 +65,7 @@
 	if r.State.GetNumber() == 0 || proto.Equal(have, r.State) {
 		return &messenger.CopyReply{State: have}, nil
 	}
-	if !budgeter.TakeCopy(have, r) {
+	if !budgeter.FollowsCopy(have, r) {
 		return nil, status.Errorf(codes.FailedPrecondition, "commit %d does not follow the copy at %d", r.State.Number, have.GetNumber())
 	}
 	rows := append(copyStoreRows(r.State.Zone, generation, r.Rows), stateRow(r.State))
--- a/keeper/log_loop.go
+++ b/keeper/log_loop.go
@@ -91,7 +91,7 @@
 	s := l.State()
 	return logCounters{
 		Version: l.version(), Commit: s.Applied(), Term: s.Term(), Leader: s.Leader(),
-		Leads: s.Leads(), Votes: s.Votes(), AgeMS: ageMS(s.ConfirmedAt()),
+		Leads: s.IsLeader(), Votes: s.IsVoter(), AgeMS: ageMS(s.ConfirmedAt()),
 	}
 }
 
@@ -115,7 +115,7 @@
 			Name: name, Peers: peers, Voters: voterCount(len(peers) + 1), Timing: replicator.DefaultTiming(),
 			Rand: r, Machine: bookMachine{book: l.book},
 		},
-		Store: store, Send: send, Committed: l.publishVersion, Prepare: l.prepare, EndsOnRefusal: true, Log: log,
+		Store: store, Send: send, OnCommit: l.publishVersion, Prepare: l.prepare, StopOnWriteError: true, Log: log,
 	})
 	if err != nil {
 		return nil, merry.Errorf("%w; to come back, stop this keeper, move its data folder away and start it: it copies from the others", err)
@@ -134,7 +134,7 @@
 	if !ok {
 		return nil, nil, merry.Errorf("%T is no change", request)
 	}
-	if r, ok := l.book.Peek(c); ok {
+	if r, ok := l.book.EarlyReply(c); ok {
 		return nil, r, nil
 	}
 	c.AcceptedAtMs = time.Now().UnixMilli()
@@ -144,7 +144,7 @@
 
 // propose submits a change and waits for its decision. The loop retains c.
 func (l *logLoop) propose(ctx context.Context, c *messenger.Change) (*messenger.ProposeReply, error) {
-	out, err := l.Ask(ctx, c)
+	out, err := l.ProposeRequest(ctx, c)
 	reply, _ := out.(*messenger.ProposeReply)
 	return reply, err
 }
@@ -154,7 +154,7 @@
 // returned rather than captured.
 func viewBook[T any](ctx context.Context, l *logLoop, f func(*configurer.Book) T) (T, error) {
 	var out, none T
-	if err := l.Look(ctx, func() { out = f(l.book) }); err != nil {
+	if err := l.Inspect(ctx, func() { out = f(l.book) }); err != nil {
 		return none, err
 	}
 	return out, nil
--- a/keeper/log_peers.go
+++ b/keeper/log_peers.go
@@ -93,7 +93,7 @@
 // Barrier returns the commit index once a majority has confirmed this keeper
 // as leader.
 func (s *logServer) Barrier(ctx context.Context, _ *messenger.BarrierRequest) (*messenger.BarrierReply, error) {
-	index, err := s.loop.Confirm(ctx)
+	index, err := s.loop.ReadIndex(ctx)
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	return s.loop.Reached(ctx, index)
+	return s.loop.WaitApplied(ctx, index)
 }
 
 // confirmedIndex returns the leader's commit index after a majority has
@@ -140,5 +140,5 @@
 	if l != s.keeper.self.Name() {
 		return 0, committer.ErrNotLeader
 	}
-	return s.loop.Confirm(ctx)
+	return s.loop.ReadIndex(ctx)
 }
--- a/keeper/log_store_test.go
+++ b/keeper/log_store_test.go
@@ -155,7 +155,7 @@
 
 func (c *cluster) history(name string) []string {
 	ids, _ := viewBook(c.ctx, c.loop(name), func(b *configurer.Book) (ids []string) {
-		changes, _ := b.Since(0)
+		changes, _ := b.ChangesSince(0)
 		for _, x := range changes {
 			ids = append(ids, x.ChangeId)
 		}
@@ -234,7 +234,7 @@
 		defer cancel()
 		ended := make(chan error, 1)
 		go func() { ended <- l.Run(ctx) }()
-		for !l.State().Leads() && ctx.Err() == nil {
+		for !l.State().IsLeader() && ctx.Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
 		cancel()
--- a/keeper/mirror.go
+++ b/keeper/mirror.go
@@ -147,7 +147,7 @@
 	}
 	for {
 		p.loop.mu.Lock()
-		commits, whole := p.loop.copier.Missing(state)
+		commits, whole := p.loop.copier.MissingCommits(state)
 		p.loop.mu.Unlock()
 		if whole {
 			if state, err = p.sendFullCopy(ctx); err != nil {
@@ -193,12 +193,12 @@
 	}
 	p.lastCopyState = state
 	p.loop.mu.Lock()
-	paired := p.loop.copier.CaughtUp(state)
+	paired := p.loop.copier.MirrorCaughtUp(state)
 	p.loop.mu.Unlock()
 	if !paired {
 		return nil
 	}
-	_, err := p.loop.handle(ctx, budgeter.Paired{MirrorIncarnation: p.mirrorIncarnation})
+	_, err := p.loop.handle(ctx, budgeter.MirrorPaired{MirrorIncarnation: p.mirrorIncarnation})
 	return err
 }
 
--- a/keeper/mirror_test.go
+++ b/keeper/mirror_test.go
@@ -145,10 +145,10 @@
 	store := newHolder(t).store
 	m := &lossyMirror{}
 	l := newVaultLoop("a", store, m, zap.NewNop())
-	g.Expect(l.begin(budgeter.Begin{Incarnation: 1})).To(gomega.Succeed())
+	g.Expect(l.begin(budgeter.StartIncarnation{Incarnation: 1})).To(gomega.Succeed())
 	p := &mirrorSync{loop: l, sender: m, store: store, log: zap.NewNop()}
 	m.state = p.state()
-	l.copier.CaughtUp(m.state)
+	l.copier.MirrorCaughtUp(m.state)
 	p.lastCopyState = m.state
 	p.verify(t.Context())
 	g.Expect(l.currentMode()).To(gomega.Equal(budgeter.ModePaired))
--- a/keeper/placement.go
+++ b/keeper/placement.go
@@ -131,7 +131,7 @@
 	}
 	err := l.server.loop.read(ctx, func(v *budgeter.Vault) {
 		view.Unspent = rattanhoist.Tokens(v.Unspent(workspace))
-		for z, n := range v.UnderWay(workspace) {
+		for z, n := range v.InFlight(workspace) {
 			view.Shares[z] += n
 		}
 	})
@@ -149,7 +149,7 @@
 	if !ok {
 		return
 	}
-	out, err := grpcReply[*messenger.AskReply](l.server.loop.handle(ctx, budgeter.Ask{Request: &messenger.AskRequest{
+	out, err := grpcReply[*messenger.AskReply](l.server.loop.handle(ctx, budgeter.RequestTransfer{Request: &messenger.AskRequest{
 		Workspace: workspace, Zone: m.Zone, WantTokens: int64(m.Tokens), VaultIncarnation: l.incarnations[m.Zone],
 	}}))
 	if err == nil && out.Transfer != nil {
--- a/keeper/prune.go
+++ b/keeper/prune.go
@@ -64,7 +64,7 @@
 		p.claims.begin(now.Add(-p.retention).UnixMilli(), minAdvance)
 	}
 	e := budgeter.Prune{
-		Retention: p.retention, Heard: p.server.monitor.reports, OldestChargeMs: oldest, UnsettledMs: unsettled,
+		Retention: p.retention, Reports: p.server.monitor.reports, OldestChargeMs: oldest, UnsettledMs: unsettled,
 		Zones: p.server.keeper.settings.Zones(),
 	}
 	err = p.server.keeper.store.View(func(v storer.View) error {
@@ -86,7 +86,7 @@
 	}
 	unsettled = math.MaxInt64
 	err = s.keeper.store.View(func(v storer.View) error {
-		return v.From(budgeter.BucketUnclaimed, "", func(key string, _ []byte) error {
+		return v.EachFrom(budgeter.BucketUnclaimed, "", func(key string, _ []byte) error {
 			unsettled = budgeter.UnsettledMs(key)
 			return errStopIteration
 		})
@@ -134,8 +134,8 @@
 		return nil
 	}
 	n := 0
-	err := v.From(s.bucket, s.next, func(key string, value []byte) error {
-		if n == maxSweepRows || len(old) == budgeter.PruneMost {
+	err := v.EachFrom(s.bucket, s.next, func(key string, value []byte) error {
+		if n == maxSweepRows || len(old) == budgeter.MaxPrunedPerStep {
 			s.next = key
 			return errStopIteration
 		}
--- a/keeper/restart_test.go
+++ b/keeper/restart_test.go
@@ -97,7 +97,7 @@
 	begun, err := r.loop.initialized()
 	r.g.Expect(err).NotTo(gomega.HaveOccurred())
 	if !begun {
-		r.g.Expect(r.loop.begin(budgeter.Begin{Incarnation: 1})).To(gomega.Succeed())
+		r.g.Expect(r.loop.begin(budgeter.StartIncarnation{Incarnation: 1})).To(gomega.Succeed())
 		return
 	}
 	r.g.Expect(r.loop.load()).To(gomega.Succeed())
@@ -121,7 +121,7 @@
 	}
 	paired := storer.Row{Bucket: bucketCommit, Key: keyPaired, Value: []byte("1")}
 	r.g.Expect(r.store.Apply([]storer.Row{paired})).To(gomega.Succeed())
-	r.g.Expect(r.loop.copier.CaughtUp(r.loop.copier.State())).To(gomega.BeTrue())
+	r.g.Expect(r.loop.copier.MirrorCaughtUp(r.loop.copier.State())).To(gomega.BeTrue())
 }
 
 // crash continues with the present bytes of the store's file, without closing
@@ -239,7 +239,7 @@
 	b.LeasedTokens -= n
 	b.UnspentTokens += n
 	return sentEvent{
-		event: budgeter.Return{Request: &messenger.ReturnRequest{
+		event: budgeter.ReturnRights{Request: &messenger.ReturnRequest{
 			Workspace: h.workspace, Router: h.router, Incarnation: h.incarnation, Sequence: h.sequence, Tokens: n,
 		}},
 		check: func(x budgeter.Reply, _ bool) { r.g.Expect(x.Err).NotTo(gomega.HaveOccurred()) },
@@ -305,7 +305,7 @@
 			w, _ := r.loop.step(s.event)
 			rows = append(rows, w...)
 		}
-		r.g.Expect(r.loop.sync(r.t.Context(), budgeter.CopyRows(rows))).To(gomega.Succeed())
+		r.g.Expect(r.loop.sync(r.t.Context(), budgeter.MergeWrites(rows))).To(gomega.Succeed())
 		r.mirror.dropCommits = false
 	}
 	if kind == endClosed {
--- a/keeper/router_monitor.go
+++ b/keeper/router_monitor.go
@@ -30,7 +30,7 @@
 	// reports maps router names to what they reported about their charges.
 	// The map is replaced rather than modified, because a vault may be
 	// reading the old one.
-	reports map[string]budgeter.Heard
+	reports map[string]budgeter.RouterReport
 }
 
 // watchRouters polls the zone's routers and fences those that stay silent. A
@@ -52,7 +52,7 @@
 		if err == nil {
 			mu.Lock()
 			defer mu.Unlock()
-			said[p.process.Name()] = budgeter.Heard{Incarnation: out.Incarnation, AnsweredBeforeMs: out.AnsweredBeforeMs}
+			said[p.process.Name()] = budgeter.RouterReport{Incarnation: out.Incarnation, AnsweredBeforeMs: out.AnsweredBeforeMs}
 		}
 		return err
 	})
@@ -79,7 +79,7 @@
 // fenceSilentRouter fences the unfenced incarnation of a router that does not
 // answer.
 func (s *budgetServer) fenceSilentRouter(ctx context.Context, name string) {
-	incarnation, _ := readVault(ctx, s.loop, func(v *budgeter.Vault) uint64 { return v.Unfenced(name) })
+	incarnation, _ := readVault(ctx, s.loop, func(v *budgeter.Vault) uint64 { return v.UnfencedIncarnation(name) })
 	if incarnation == 0 {
 		return
 	}
--- a/keeper/vault_counters.go
+++ b/keeper/vault_counters.go
@@ -66,8 +66,8 @@
 		{gaugeCharged, t.ChargedTokens},
 		{gaugeFrozen, t.FrozenTokens},
 		{gaugeWithheld, t.WithheldTokens},
-		{gaugeTransfers, int64(len(v.Pending()))},
-		{gaugeFencing, int64(len(v.Fencing()))},
+		{gaugeTransfers, int64(len(v.PendingTransfers()))},
+		{gaugeFencing, int64(len(v.UnreleasedRouters()))},
 		{gaugeWitnessed, int64(v.WitnessedCount())},
 		{gaugeUnproved, unprovedGauge(v)},
 		{gaugeOldestCharge, v.OldestChargeMs()},
@@ -79,7 +79,7 @@
 }
 
 func unprovedGauge(v *budgeter.Vault) int64 {
-	if v.Unproved() {
+	if v.RestoreUnverified() {
 		return 1
 	}
 	return 0
--- a/keeper/vault_lease.go
+++ b/keeper/vault_lease.go
@@ -59,7 +59,7 @@
 	if n <= 0 {
 		return
 	}
-	holders, _ := readVault(ctx, g.server.loop, func(v *budgeter.Vault) []string { return v.Lessees(g.workspace) })
+	holders, _ := readVault(ctx, g.server.loop, func(v *budgeter.Vault) []string { return v.RoutersWithLeases(g.workspace) })
 	var others []peer
 	for _, p := range g.server.keeper.peers.routers {
 		for _, name := range holders {
--- a/keeper/vault_loop.go
+++ b/keeper/vault_loop.go
@@ -109,7 +109,7 @@
 // load restores the vault from the stored rows and checks that its accounts
 // balance.
 func (l *vaultLoop) load() error {
-	for _, b := range budgeter.Resident {
+	for _, b := range budgeter.ResidentBuckets {
 		err := l.store.Each(b, func(key string, value []byte) error { return l.vault.Restore(b, key, value) })
 		if err != nil {
 			return err
@@ -157,7 +157,7 @@
 
 // begin makes the first commit of an incarnation. Restored rows become valid
 // with this commit.
-func (l *vaultLoop) begin(e budgeter.Begin) error {
+func (l *vaultLoop) begin(e budgeter.StartIncarnation) error {
 	var writes []budgeter.Write
 	for _, a := range l.vault.Step(time.Now(), e) {
 		if w, ok := a.(budgeter.Write); ok {
@@ -165,7 +165,7 @@
 		}
 	}
 	l.startCopier(&messenger.CopyState{Zone: l.vault.Zone(), Incarnation: e.Incarnation}, false)
-	r := l.nextCommit(budgeter.CopyRows(writes))
+	r := l.nextCommit(budgeter.MergeWrites(writes))
 	rows := append(storeRows(r), storer.Row{Bucket: bucketCommit, Key: keyRestoring}, storer.Row{Bucket: bucketCommit, Key: keyPaired})
 	if err := l.store.Apply(rows); err != nil {
 		return err
@@ -198,7 +198,7 @@
 // event. Reads are answered at once from the vault as last synced.
 func (l *vaultLoop) collectEvents(ctx context.Context, first vaultCall) []vaultCall {
 	events := l.answerReads(l.batch(first))
-	wait := l.lastCommit.Add(commitInterval(l.vault.Routers())).Sub(l.now())
+	wait := l.lastCommit.Add(commitInterval(l.vault.RouterCount())).Sub(l.now())
 	if len(events) == 0 || wait <= 0 {
 		return events
 	}
@@ -241,7 +241,7 @@
 		writes = append(writes, w...)
 		replies[i] = r
 	}
-	if err := l.sync(ctx, budgeter.CopyRows(writes)); err != nil {
+	if err := l.sync(ctx, budgeter.MergeWrites(writes)); err != nil {
 		return err
 	}
 	countEvents.Add(int64(len(events)))
@@ -271,7 +271,7 @@
 // other zones while it runs without its mirror.
 func (l *vaultLoop) step(e budgeter.Event) (writes []budgeter.Write, reply budgeter.Reply) {
 	mode := l.currentMode()
-	if _, ok := e.(budgeter.Ask); mode == budgeter.ModeStarting || ok && mode == budgeter.ModeSolo {
+	if _, ok := e.(budgeter.RequestTransfer); mode == budgeter.ModeStarting || ok && mode == budgeter.ModeSolo {
 		return nil, budgeter.Reply{Err: errNotDurable}
 	}
 	for _, a := range l.vault.Step(time.Now(), e) {
@@ -350,7 +350,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.copier.Commit(r)
-	countAtRisk.Set(int64(l.copier.AtRisk()))
+	countAtRisk.Set(int64(l.copier.UnmirroredCommits()))
 	return l.copier.Mode()
 }
 
@@ -359,7 +359,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.log.Warn("mirror does not take commits", zap.Error(err))
-	l.copier.Lost()
+	l.copier.MirrorLost()
 }
 
 // placeSoloMark stores a mark at another node, which records that the
@@ -380,7 +380,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.copier.Marked()
+	l.copier.SoloMarkStored()
 }
 
 // storeRows returns the rows of a commit and its state as rows of this
--- a/keeper/vault_loop_test.go
+++ b/keeper/vault_loop_test.go
@@ -41,8 +41,8 @@
 	g := gomega.NewWithT(t)
 	store := newHolder(t).store
 	l := newVaultLoop("a", store, m, zap.NewNop())
-	g.Expect(l.begin(budgeter.Begin{Incarnation: 1})).To(gomega.Succeed())
-	l.copier.CaughtUp(l.copier.State())
+	g.Expect(l.begin(budgeter.StartIncarnation{Incarnation: 1})).To(gomega.Succeed())
+	l.copier.MirrorCaughtUp(l.copier.State())
 	mint := vaultCall{
 		event: budgeter.Mint{Request: &messenger.TopUpRequest{TopUpId: "a/1", Workspace: "w", Tokens: 100}},
 		done:  make(chan budgeter.Reply, 1),
@@ -54,7 +54,7 @@
 
 func askCall() vaultCall {
 	return vaultCall{
-		event: budgeter.Ask{Request: &messenger.AskRequest{Workspace: "w", Zone: "b", WantTokens: 60}},
+		event: budgeter.RequestTransfer{Request: &messenger.AskRequest{Workspace: "w", Zone: "b", WantTokens: 60}},
 		done:  make(chan budgeter.Reply, 1),
 	}
 }
@@ -68,7 +68,7 @@
 	l, store := pairedLoop(t, &gatedMirror{})
 	ask := askCall()
 	read := vaultCall{done: make(chan budgeter.Reply, 1), read: func(v *budgeter.Vault) {
-		for _, p := range v.Pending() {
+		for _, p := range v.PendingTransfers() {
 			row, err := store.Get(budgeter.BucketTransfers, p.TransferId)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(row).NotTo(gomega.BeNil(), "transfer %s is not synced", p.TransferId)
@@ -77,7 +77,7 @@
 	g.Expect(l.commit(t.Context(), []vaultCall{ask, read})).To(gomega.Succeed())
 	<-read.done
 	g.Expect((<-ask.done).Err).NotTo(gomega.HaveOccurred())
-	g.Expect(l.vault.Pending()).To(gomega.HaveLen(1))
+	g.Expect(l.vault.PendingTransfers()).To(gomega.HaveLen(1))
 }
 
 // Two zones must not spend the same rights because the mode was read before
@@ -126,7 +126,7 @@
 	for range 100 {
 		busy, gate := make(chan struct{}), make(chan struct{})
 		go func() {
-			_ = l.Look(t.Context(), func() {
+			_ = l.Inspect(t.Context(), func() {
 				close(busy)
 				<-gate
 			})
@@ -134,7 +134,7 @@
 		<-busy
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
-			for l.Waiting() == 0 {
+			for l.QueueLength() == 0 {
 				runtime.Gosched()
 			}
 			cancel()
--- a/keeper/vault_maintenance.go
+++ b/keeper/vault_maintenance.go
@@ -36,7 +36,7 @@
 // on disk. A transfer is sent only once it is on two disks here: a restored
 // copy without it would still hold the rights.
 func (s *budgetServer) resendTransfers(ctx context.Context) {
-	pending, _ := readVault(ctx, s.loop, (*budgeter.Vault).Pending)
+	pending, _ := readVault(ctx, s.loop, (*budgeter.Vault).PendingTransfers)
 	byZone := map[string]*messenger.GiveRequest{}
 	for _, t := range pending {
 		if byZone[t.ToZone] == nil {
@@ -61,7 +61,7 @@
 	defer cancel()
 	got, err := p.budget().Give(ctx, r)
 	if err == nil && len(got.AcceptedIds) > 0 {
-		_, _ = s.loop.handle(ctx, budgeter.Confirm{TransferIDs: got.AcceptedIds})
+		_, _ = s.loop.handle(ctx, budgeter.ConfirmTransfers{TransferIDs: got.AcceptedIds})
 	}
 }
 
@@ -71,7 +71,7 @@
 // router already spends.
 func (s *budgetServer) releaseFenced(ctx context.Context) {
 	fencing, _ := readVault(ctx, s.loop, func(v *budgeter.Vault) (out []*messenger.FenceWitnessRequest) {
-		for _, r := range v.Fencing() {
+		for _, r := range v.UnreleasedRouters() {
 			out = append(out, &messenger.FenceWitnessRequest{Zone: v.Zone(), Router: r.Router, Incarnation: r.Fenced})
 		}
 		return out
@@ -112,7 +112,7 @@
 func (s *budgetServer) handOverCharges(ctx context.Context) {
 	for _, p := range s.keeper.peers.keepers {
 		charges, _ := readVault(ctx, s.loop, func(v *budgeter.Vault) []*messenger.Charge {
-			return v.Witnessed(p.process.Zone(), maxHandOverCharges)
+			return v.WitnessedCharges(p.process.Zone(), maxHandOverCharges)
 		})
 		if len(charges) == 0 {
 			continue
@@ -121,7 +121,7 @@
 		_, err := p.budget().HandOver(c, &messenger.HandOverRequest{Charges: charges})
 		cancel()
 		if err == nil {
-			_, _ = s.loop.handle(ctx, budgeter.HandedOver{Charges: charges})
+			_, _ = s.loop.handle(ctx, budgeter.DropWitnessed{Charges: charges})
 		}
 	}
 }
--- a/keeper/vault_restore.go
+++ b/keeper/vault_restore.go
@@ -78,7 +78,7 @@
 		return err
 	}
 	incarnation := max(uint64(time.Now().UnixNano()), state.GetIncarnation()+1)
-	if err := s.loop.begin(budgeter.Begin{Incarnation: incarnation, Copy: state}); err != nil {
+	if err := s.loop.begin(budgeter.StartIncarnation{Incarnation: incarnation, Copy: state}); err != nil {
 		return err
 	}
 	if state == nil {
@@ -94,7 +94,7 @@
 // that the restored rows lack anything.
 func (s *budgetServer) verifyRestored(ctx context.Context) {
 	for ctx.Err() == nil {
-		unproved, err := readVault(ctx, s.loop, (*budgeter.Vault).Unproved)
+		unproved, err := readVault(ctx, s.loop, (*budgeter.Vault).RestoreUnverified)
 		if err != nil || !unproved {
 			return
 		}
@@ -111,7 +111,7 @@
 	if err != nil {
 		return
 	}
-	m, err := s.loop.handle(ctx, budgeter.Prove{Routers: routers, Holdings: evidence.Holdings, CopyComplete: complete})
+	m, err := s.loop.handle(ctx, budgeter.VerifyRestore{Routers: routers, Holdings: evidence.Holdings, CopyComplete: complete})
 	if err != nil {
 		return
 	}
--- a/keeper/workspace_shares.go
+++ b/keeper/workspace_shares.go
@@ -38,12 +38,12 @@
 	routers map[string]routerDemand
 	// meter averages the zone's demand over the longest expected network
 	// partition.
-	meter placer.Meter
+	meter placer.DemandAverage
 }
 
 // idleMeter is the demand meter of a workspace that has left the exchange.
 type idleMeter struct {
-	meter placer.Meter
+	meter placer.DemandAverage
 	since time.Time
 }
 
@@ -143,7 +143,7 @@
 		w.meter.Add(now, w.currentDemand(now))
 		out = append(out, name)
 	}
-	maps.DeleteFunc(s.idle, func(_ string, i idleMeter) bool { return now.Sub(i.since) > placer.MeterTime })
+	maps.DeleteFunc(s.idle, func(_ string, i idleMeter) bool { return now.Sub(i.since) > placer.DemandTimeConstant })
 	slices.Sort(out)
 	return out
 }
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -66,7 +66,7 @@
 }
 
 // RecordRequest records a request for a service.
-func (l *Limiter) Request(now time.Time, service string) {
+func (l *Limiter) RecordRequest(now time.Time, service string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.counter(now, service)
@@ -75,7 +75,7 @@
 
 // AllowRetry reports whether a retry is within this router's share of the budget, and
 // counts it if it is. Routers share the slack evenly.
-func (l *Limiter) Repeat(now time.Time, service string, routers int) bool {
+func (l *Limiter) AllowRetry(now time.Time, service string, routers int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.counter(now, service)
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -25,9 +25,9 @@
 		for n := range 20 {
 			now := start.Add(time.Duration(s)*time.Second + time.Duration(n)*50*time.Millisecond)
 			for _, l := range all {
-				l.Request(now, "s")
+				l.RecordRequest(now, "s")
 				requests[s]++
-				if l.Repeat(now, "s", routers) {
+				if l.AllowRetry(now, "s", routers) {
 					repeats[s]++
 				}
 			}
@@ -50,8 +50,8 @@
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	l := limiter.New(limiter.Budget{Ratio: 0, Slack: 2, Window: time.Second}, now)
-	g.Expect(l.Repeat(now, "a", 1)).To(gomega.BeTrue())
-	g.Expect(l.Repeat(now, "a", 1)).To(gomega.BeFalse())
-	g.Expect(l.Repeat(now, "b", 1)).To(gomega.BeTrue())
-	g.Expect(l.Repeat(now.Add(2*time.Second), "a", 1)).To(gomega.BeTrue())
+	g.Expect(l.AllowRetry(now, "a", 1)).To(gomega.BeTrue())
+	g.Expect(l.AllowRetry(now, "a", 1)).To(gomega.BeFalse())
+	g.Expect(l.AllowRetry(now, "b", 1)).To(gomega.BeTrue())
+	g.Expect(l.AllowRetry(now.Add(2*time.Second), "a", 1)).To(gomega.BeTrue())
 }
--- a/loader/loader.go
+++ b/loader/loader.go
@@ -15,9 +15,9 @@
 	"gopkg.in/ini.v1"
 )
 
-// ErrFaulty is returned for invalid settings. The error message lists every
+// ErrInvalidSettings is returned for invalid settings. The error message lists every
 // problem.
-var ErrFaulty = merry.Sentinel("faulty settings")
+var ErrInvalidSettings = merry.Sentinel("faulty settings")
 
 // Settings holds the validated settings of a deployment. It is immutable.
 type Settings struct {
@@ -83,7 +83,7 @@
 			return p, nil
 		}
 	}
-	return Process{}, merry.Errorf("%w: %s has no section [%s %s]", ErrFaulty, s.file, kind, name)
+	return Process{}, merry.Errorf("%w: %s has no section [%s %s]", ErrInvalidSettings, s.file, kind, name)
 }
 
 // Zones returns the names of the availability zones in sorted order.
@@ -103,13 +103,13 @@
 	// would name another directory, and two keepers would wait for one store.
 	f, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, file)
 	if err != nil {
-		return nil, merry.Errorf("%w: %s: %s", ErrFaulty, file, err.Error())
+		return nil, merry.Errorf("%w: %s: %s", ErrInvalidSettings, file, err.Error())
 	}
 	c := parser{file: file, lines: indexLines(file)}
 	s := c.parseSettings(f)
 	s.warnings = c.warnings
 	if len(c.errors) > 0 {
-		return nil, merry.Errorf("%w:\n  %s", ErrFaulty, strings.Join(c.errors, "\n  "))
+		return nil, merry.Errorf("%w:\n  %s", ErrInvalidSettings, strings.Join(c.errors, "\n  "))
 	}
 	return s, nil
 }
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -51,7 +51,7 @@
 var _ = ginkgo.It("lists every fault", func() {
 	file := copyIn("faulty.ini")
 	_, err := loader.Load(file)
-	gomega.Expect(errors.Is(err, loader.ErrFaulty)).To(gomega.BeTrue(), "got %v", err)
+	gomega.Expect(errors.Is(err, loader.ErrInvalidSettings)).To(gomega.BeTrue(), "got %v", err)
 	text := strings.ReplaceAll(err.Error(), filepath.Dir(file)+"/", "")
 	text = strings.ReplaceAll(text, fmt.Sprint(picker.Names()), "[PICKERS]")
 	comparer.Golden(ginkgo.GinkgoTB(), "faulty.golden", text+"\n")
--- a/loader/node.go
+++ b/loader/node.go
@@ -115,18 +115,18 @@
 // acknowledged.
 func (n *Node) Drain() time.Duration { return n.drain }
 
-// Retries returns the retry limit of the fleet: within any window, at most
+// RetryLimit returns the retry limit of the fleet: within any window, at most
 // ratio retries per request, plus slack.
-func (n *Node) Retries() (ratio, slack float64, window time.Duration) {
+func (n *Node) RetryLimit() (ratio, slack float64, window time.Duration) {
 	return n.retryRatio, n.retrySlack, n.retryWindow
 }
 
 // OrderTimeout returns the time within which an order must be acknowledged.
 func (n *Node) OrderTimeout() time.Duration { return n.orderTimeout }
 
-// Apply returns the time within which an acknowledged document must take
+// ApplyTimeout returns the time within which an acknowledged document must take
 // effect.
-func (n *Node) Apply() time.Duration { return n.apply }
+func (n *Node) ApplyTimeout() time.Duration { return n.apply }
 
 // Quarantine returns how long a request is held back after endpoints ended
 // while serving it.
@@ -136,10 +136,10 @@
 // the map.
 func (n *Node) Regions() map[string]string { return n.regions }
 
-// Cold returns the fleet's limit for a cold endpoint: in one second, it
+// ColdLimit returns the fleet's limit for a cold endpoint: in one second, it
 // receives at most overshoot times the rate of its service, plus slack
 // requests.
-func (n *Node) Cold() (overshoot, slack float64) { return n.coldOvershoot, n.coldSlack }
+func (n *Node) ColdLimit() (overshoot, slack float64) { return n.coldOvershoot, n.coldSlack }
 
 // RateLimit returns the fleet's limit for an endpoint that reports a rate
 // limit: in any window, it receives at most overshoot times the requests that
@@ -183,12 +183,12 @@
 func LoadNode(file string) (*Node, []string, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, file)
 	if err != nil {
-		return nil, nil, merry.Errorf("%w: %s: %s", ErrFaulty, file, err.Error())
+		return nil, nil, merry.Errorf("%w: %s: %s", ErrInvalidSettings, file, err.Error())
 	}
 	c := parser{file: file, lines: indexLines(file)}
 	n := c.parseNode(f.Section("node"))
 	if len(c.errors) > 0 {
-		return nil, nil, merry.Errorf("%w:\n  %s", ErrFaulty, strings.Join(c.errors, "\n  "))
+		return nil, nil, merry.Errorf("%w:\n  %s", ErrInvalidSettings, strings.Join(c.errors, "\n  "))
 	}
 	return n, c.warnings, nil
 }
--- a/loader/node_test.go
+++ b/loader/node_test.go
@@ -50,10 +50,10 @@
 	g.Expect(n.FirstStart()).To(gomega.BeTrue())
 	g.Expect(n.Grace()).To(gomega.Equal(8 * time.Second))
 	g.Expect(n.Heartbeat()).To(gomega.Equal(time.Second), "an empty field has its default")
-	ratio, _, _ := n.Retries()
+	ratio, _, _ := n.RetryLimit()
 	g.Expect(ratio).To(gomega.Equal(0.3))
 	g.Expect(n.Regions()).To(gomega.Equal(map[string]string{"z": "north", "y": "south"}))
-	overshoot, slack := n.Cold()
+	overshoot, slack := n.ColdLimit()
 	g.Expect(overshoot).To(gomega.Equal(1.5))
 	g.Expect(slack).To(gomega.BeZero())
 	overshoot, slack, window := n.RateLimit()
@@ -64,7 +64,7 @@
 func TestLoadNodeListsEveryError(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, _, err := loader.LoadNode(nodeFile(t, "[node]\nkind = other\nip = x\ninternal_ports = 1\nseeds = y\nfirst_start = maybe\ngrace_s = -1\nzones = a\n"))
-	g.Expect(err).To(gomega.MatchError(loader.ErrFaulty))
+	g.Expect(err).To(gomega.MatchError(loader.ErrInvalidSettings))
 	for _, part := range []string{"name: missing", "zone: missing", `"other"`, "want IP:PORT", "true or false", "grace_s", "want ZONE:REGION", "data_dir: missing", "control: missing", "node.ini:7"} {
 		g.Expect(err.Error()).To(gomega.ContainSubstring(part))
 	}
--- a/localizer/localizer.go
+++ b/localizer/localizer.go
@@ -25,7 +25,7 @@
 
 // InRegions returns the zones in the given regions, or nil if none is given. A zone with an
 // unknown region is in none of them.
-func (l *Localizer) Within(regions []string) *Zones {
+func (l *Localizer) InRegions(regions []string) *Zones {
 	if len(regions) == 0 {
 		return nil
 	}
@@ -44,7 +44,7 @@
 }
 
 // Intersect returns the zones allowed by both sets.
-func (z *Zones) And(o *Zones) *Zones {
+func (z *Zones) Intersect(o *Zones) *Zones {
 	if z == nil || o == nil || z.key == o.key {
 		if z == nil {
 			return o
--- a/measurer/answers.go
+++ b/measurer/answers.go
@@ -37,7 +37,7 @@
 
 // beginRun starts run number i.
 func beginRun(j *joiner.Joiner, i int) *joiner.Run {
-	run, _, _ := j.Arrive(answersStart, joiner.Arrive{Key: answerKey(i), Deadline: answersStart.Add(time.Hour), First: true})
+	run, _, _ := j.Arrive(answersStart, joiner.Arrive{Key: answerKey(i), Deadline: answersStart.Add(time.Hour), FirstAttempt: true})
 	_ = run.Begin(joiner.Stream{ID: fmt.Sprintf("stream-%08d", i), Endpoint: "survey-llm-1"})
 	return run
 }
--- a/measurer/budget_pairs.go
+++ b/measurer/budget_pairs.go
@@ -55,7 +55,7 @@
 	policy := treasurer.DefaultPolicy()
 	var bytes int64
 	for i := range n {
-		p := &pairLoad{clock: clock, bytes: &bytes, account: treasurer.NewAccount(fmt.Sprintf("workspace-%d", i), &policy, clock.now, treasurer.Rest{})}
+		p := &pairLoad{clock: clock, bytes: &bytes, account: treasurer.NewAccount(fmt.Sprintf("workspace-%d", i), &policy, clock.now, treasurer.Totals{})}
 		clock.after(time.Duration(i)*pairRequestEvery/time.Duration(n), p.start)
 	}
 	clock.runUntil(clock.now.Add(pairRunTime))
@@ -71,13 +71,13 @@
 
 func (p *pairLoad) start() {
 	p.clock.every(pairRequestEvery, func() bool { p.request(); return true })
-	p.clock.every(treasurer.DefaultPolicy().TickEvery, func() bool { p.step(treasurer.Tick{}); return true })
+	p.clock.every(treasurer.DefaultPolicy().TickInterval, func() bool { p.step(treasurer.Tick{}); return true })
 }
 
 func (p *pairLoad) request() {
 	s := p.account.Slice()
 	if !s.Reserve(pairWorst) {
-		p.step(treasurer.Need{Tokens: pairWorst, Waiting: pairWorst, GiveUp: p.clock.now})
+		p.step(treasurer.Need{Tokens: pairWorst, Waiting: pairWorst, Deadline: p.clock.now})
 		s.Reserve(pairWorst)
 	}
 	p.clock.after(time.Second, func() { s.Settle(pairWorst, pairCost) })
--- a/measurer/budget_place.go
+++ b/measurer/budget_place.go
@@ -71,7 +71,7 @@
 		h := k.heard[z]
 		v.Demand[budgetZoneName(z)], v.Shares[budgetZoneName(z)], v.Age[budgetZoneName(z)] = h.demand[w], h.shares[w], now.Sub(h.at)
 	}
-	for _, t := range k.vault.Pending() {
+	for _, t := range k.vault.PendingTransfers() {
 		if t.Workspace == workspaceName(w) {
 			v.Shares[t.ToZone] += rattanhoist.Tokens(t.Tokens)
 		}
--- a/measurer/budget_repair.go
+++ b/measurer/budget_repair.go
@@ -27,8 +27,8 @@
 		}
 	}
 	k.down = false
-	k.step(budgeter.Begin{Incarnation: incarnation, Copy: &messenger.CopyState{Incarnation: incarnation - 1, Number: k.commits}})
-	p := budgeter.Prove{CopyComplete: true}
+	k.step(budgeter.StartIncarnation{Incarnation: incarnation, Copy: &messenger.CopyState{Incarnation: incarnation - 1, Number: k.commits}})
+	p := budgeter.VerifyRestore{CopyComplete: true}
 	for _, r := range k.routers {
 		p.Routers = append(p.Routers, r.name)
 		if r.alive {
--- a/measurer/budget_router.go
+++ b/measurer/budget_router.go
@@ -54,7 +54,7 @@
 	r.accounts = [budgetWorkspaces]*accountFake{}
 	r.register()
 	began := r.incarnation
-	r.clock().every(r.policy.TickEvery, func() bool {
+	r.clock().every(r.policy.TickInterval, func() bool {
 		if !r.alive || r.incarnation != began {
 			return false
 		}
@@ -77,7 +77,7 @@
 
 func (r *routerFake) account(w int) *accountFake {
 	if r.accounts[w] == nil {
-		a := treasurer.NewAccount(workspaceName(w), &r.policy, r.clock().now, treasurer.Rest{})
+		a := treasurer.NewAccount(workspaceName(w), &r.policy, r.clock().now, treasurer.Totals{})
 		r.accounts[w] = &accountFake{Account: a, giveUp: map[*waitingRequest]time.Time{}}
 	}
 	return r.accounts[w]
@@ -97,7 +97,7 @@
 func (r *routerFake) reserve(c *running, decided func(bool)) {
 	a := r.account(c.workspace)
 	if a.Slice().Reserve(c.worst) {
-		if a.Low() && !a.poked {
+		if a.BelowLowMark() && !a.poked {
 			a.poked = true
 			r.step(a, treasurer.Tick{})
 		}
@@ -122,7 +122,7 @@
 		w.decided(true)
 		return
 	}
-	need := treasurer.Need{Tokens: w.call.worst, Waiting: a.wanted, GiveUp: a.giveUp[w]}
+	need := treasurer.Need{Tokens: w.call.worst, Waiting: a.wanted, Deadline: a.giveUp[w]}
 	until, refused := r.perform(a, a.Step(r.clock().now, need))
 	if refused {
 		r.end(a, w)
@@ -202,13 +202,13 @@
 	r.keeper.fleet.traffic.control(q)
 	r.later(hopWithin, func() {
 		if r.keeper.down {
-			r.later(r.policy.CallTimeout, func() { r.step(a, treasurer.Failed{Sequence: x.Sequence}) })
+			r.later(r.policy.CallTimeout, func() { r.step(a, treasurer.CallFailed{Sequence: x.Sequence}) })
 			return
 		}
 		reply, took, err := r.keeper.lease(q, r.number)
 		r.later(took+hopWithin, func() {
 			if err != nil {
-				r.step(a, treasurer.Failed{Sequence: x.Sequence})
+				r.step(a, treasurer.CallFailed{Sequence: x.Sequence})
 				return
 			}
 			r.keeper.fleet.traffic.control(reply)
@@ -227,11 +227,11 @@
 	}
 	r.keeper.fleet.traffic.control(q)
 	if r.keeper.down {
-		r.later(r.policy.CallTimeout, func() { r.step(a, treasurer.Failed{Sequence: x.Sequence}) })
+		r.later(r.policy.CallTimeout, func() { r.step(a, treasurer.CallFailed{Sequence: x.Sequence}) })
 		return
 	}
-	if _, err := r.keeper.step(budgeter.Return{Request: q}); err != nil {
-		r.later(hopWithin, func() { r.step(a, treasurer.Failed{Sequence: x.Sequence}) })
+	if _, err := r.keeper.step(budgeter.ReturnRights{Request: q}); err != nil {
+		r.later(hopWithin, func() { r.step(a, treasurer.CallFailed{Sequence: x.Sequence}) })
 		return
 	}
 	r.later(hopWithin, func() { r.step(a, treasurer.Returned{Sequence: x.Sequence}) })
@@ -308,7 +308,7 @@
 }
 
 func (r *routerFake) answered(s treasurer.Send, reply *messenger.ChargeReply) {
-	known, more := r.outbox.Answered(r.clock().now, s, reply)
+	known, more := r.outbox.ApplyReply(r.clock().now, s, reply)
 	for _, o := range known {
 		h, ok := r.held[o.Key]
 		if !ok {
--- a/measurer/budget_zone.go
+++ b/measurer/budget_zone.go
@@ -44,7 +44,7 @@
 	routers        [routersPerZone]*routerFake
 	heard          [budgetZones]heard
 	demand         [budgetWorkspaces][routersPerZone]sample
-	meters         [budgetWorkspaces]placer.Meter
+	meters         [budgetWorkspaces]placer.DemandAverage
 }
 
 var budgetZoneNames, budgetWorkspaceNames = names("zone", budgetZones), names("workspace", budgetWorkspaces)
@@ -64,7 +64,7 @@
 func newKeeperFake(f *escrow, number int) *keeperFake {
 	k := &keeperFake{fleet: f, number: number, disk: rowMap{}, mirrored: rowMap{}}
 	k.vault = budgeter.NewVault(budgetZoneName(number), k.disk)
-	k.step(budgeter.Begin{Incarnation: 1})
+	k.step(budgeter.StartIncarnation{Incarnation: 1})
 	return k
 }
 
@@ -166,7 +166,7 @@
 	if k.unspent(workspace) < n {
 		k.recall(workspace, n, -1)
 	}
-	m, err := k.step(budgeter.Ask{Request: &messenger.AskRequest{
+	m, err := k.step(budgeter.RequestTransfer{Request: &messenger.AskRequest{
 		Workspace: workspace, Zone: budgetZoneName(to.number), WantTokens: int64(n), VaultIncarnation: to.vault.Incarnation(),
 	}})
 	if err != nil {
@@ -182,15 +182,15 @@
 	if t == nil || !k.fleet.connected(k.number, to.number) || to.down {
 		return
 	}
-	m, err := to.step(budgeter.Receive{Request: &messenger.GiveRequest{Transfers: []*messenger.Transfer{t}}})
+	m, err := to.step(budgeter.ReceiveTransfers{Request: &messenger.GiveRequest{Transfers: []*messenger.Transfer{t}}})
 	if err == nil {
-		k.step(budgeter.Confirm{TransferIDs: m.(*messenger.GiveReply).AcceptedIds})
+		k.step(budgeter.ConfirmTransfers{TransferIDs: m.(*messenger.GiveReply).AcceptedIds})
 	}
 }
 
 // resend delivers what is pending.
 func (k *keeperFake) resend() {
-	for _, t := range k.vault.Pending() {
+	for _, t := range k.vault.PendingTransfers() {
 		for z, other := range k.fleet.zones {
 			if budgetZoneName(z) == t.ToZone {
 				k.deliver(other, t)
--- a/measurer/capacity_lines.go
+++ b/measurer/capacity_lines.go
@@ -10,12 +10,12 @@
 
 // Periods of the product's messages, in calls a second.
 const (
-	beatsPerS = float64(time.Second / router.BeatEvery)
+	beatsPerS = float64(time.Second / router.HeartbeatInterval)
 	// roundsPerS are rounds of pulls, pullsPerS a router's pulls from siblings.
 	roundsPerS   = float64(time.Second / tracker.PullEvery)
 	pullsPerS    = roundsPerS * tracker.DefaultSiblings
 	watchPerS    = 1
-	announcePerS = float64(time.Second / router.RenewAfter)
+	announcePerS = float64(time.Second / router.RenewInterval)
 	appendsPerS  = 10
 	// commitsPerS is one each 5 ms, the most that a keeper makes.
 	commitsPerS = 200
--- a/measurer/commit_slopes.go
+++ b/measurer/commit_slopes.go
@@ -129,7 +129,7 @@
 	copier := budgeter.NewCopier(&messenger.CopyState{Zone: "a", Incarnation: sampleIncarnation}, true, func(string, string) {})
 	out := make([]*messenger.CopyRequest, 0, n)
 	for i := range n {
-		r := copier.Prepare(budgeter.CopyRows(c.rows(v, i)))
+		r := copier.Prepare(budgeter.MergeWrites(c.rows(v, i)))
 		copier.Commit(r)
 		v.Synced()
 		out = append(out, r)
--- a/measurer/endpoints_wire.go
+++ b/measurer/endpoints_wire.go
@@ -101,7 +101,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(map[string]any{"token": f.told.Token(now), "usable": done.Usable, "renew_after_ms": router.RenewAfter.Milliseconds()})
+	_ = json.NewEncoder(w).Encode(map[string]any{"token": f.told.Token(now), "usable": done.Usable, "renew_after_ms": router.RenewInterval.Milliseconds()})
 }
 
 // gossipServer answers pulls from a fleet's tracker.
--- a/measurer/endpoints_zone.go
+++ b/measurer/endpoints_zone.go
@@ -72,7 +72,7 @@
 		p := z.random.Perm(routers)
 		z.told = append(z.told, [announcedTo]int(p[:announcedTo]))
 		z.tokens = append(z.tokens, [announcedTo]string{})
-		z.sayAt = append(z.sayAt, z.within(router.RenewAfter))
+		z.sayAt = append(z.sayAt, z.within(router.RenewInterval))
 	}
 	return z
 }
@@ -87,7 +87,7 @@
 func (z *turnZone) now() rattanhoist.Moment { return z.start.Add(z.at) }
 
 func (z *turnZone) announce(i int) error {
-	z.sayAt[i] += router.RenewAfter
+	z.sayAt[i] += router.RenewInterval
 	a := &z.fleet.said[i]
 	for k, n := range z.told[i] {
 		t := z.trackers[n]
@@ -159,7 +159,7 @@
 		usable := 0
 		for _, s := range t.Table().Services() {
 			for _, e := range t.Table().Service(s) {
-				age, _ := z.now().Since(e.HeardMoment())
+				age, _ := z.now().Since(e.AnnouncedAtMoment())
 				z.oldest = max(z.oldest, age)
 				if t.UsableAt(e, z.now()) {
 					usable++
--- a/measurer/picker_fleet.go
+++ b/measurer/picker_fleet.go
@@ -276,7 +276,7 @@
 func (f *fleet) endpoint(i, load int) *rattanhoist.Endpoint {
 	return rattanhoist.NewEndpoint(rattanhoist.EndpointFields{
 		Name: engineName(i), Service: "survey-llm", Zone: zoneName(i), Incarnation: 1,
-		Capacity: fleetCapacity, Load: int64(load), Heard: f.base.Add(f.clock.now),
+		Capacity: fleetCapacity, Load: int64(load), AnnouncedAt: f.base.Add(f.clock.now),
 	})
 }
 
--- a/measurer/picker_router.go
+++ b/measurer/picker_router.go
@@ -50,7 +50,7 @@
 
 func (r *fleetRouter) cacheEvent(i int, prefix uint64, stored bool) {
 	if r.f.endpoints[i] != nil {
-		r.ledger.CacheEvent(r.f.endpoints[i], prefix, stored, r.now())
+		r.ledger.ApplyCacheEvent(r.f.endpoints[i], prefix, stored, r.now())
 	}
 }
 
@@ -62,9 +62,9 @@
 }
 
 func (r *fleetRouter) arrive(q *fleetRequest) {
-	r.retries.First()
+	r.retries.RecordRequest()
 	if r.f.c.unlimited {
-		r.set.Room(r.now())
+		r.set.FreeCapacity(r.now())
 		r.dispatch(q)
 		return
 	}
@@ -72,13 +72,13 @@
 	r.waiting[q.id] = q
 	r.step(admitter.Event{Kind: admitter.Arrive, Request: admitter.Request{
 		ID: q.id, Workspace: q.workspace, Priority: q.priority, Deadline: q.deadline,
-		Tokens: e.Tokens, Service: e.Service, Least: e.Least, Random: r.f.rand.Float64(),
+		Tokens: e.Tokens, Service: e.Service, MinService: e.MinService, RandomValue: r.f.rand.Float64(),
 	}})
 }
 
 // step runs the queue and does what it says.
 func (r *fleetRouter) step(e admitter.Event) {
-	e.InFlight, e.Limit = r.inFlight, r.set.Room(r.now())
+	e.InFlight, e.Limit = r.inFlight, r.set.FreeCapacity(r.now())
 	for _, a := range slices.Clone(r.queue.Step(r.f.clock.now, e)) {
 		q := r.waiting[a.ID]
 		delete(r.waiting, a.ID)
@@ -196,10 +196,10 @@
 	if x.request.first == 0 {
 		x.request.first = x.router.f.clock.now
 	}
-	x.run.First(x.router.now())
+	x.run.RecordFirstToken(x.router.now())
 }
 
-func (x *fleetRun) pace() { x.run.Text(x.router.now(), paceTokens) }
+func (x *fleetRun) pace() { x.run.RecordChunks(x.router.now(), paceTokens) }
 
 func (x *fleetRun) end(whole bool) {
 	if x.ended {
@@ -209,9 +209,9 @@
 	r := x.router
 	cached := int64(x.inside.cached)
 	if whole {
-		x.run.Text(r.now(), x.request.answer)
+		x.run.RecordChunks(r.now(), x.request.answer)
 	}
-	r.run(x, picker.Outcome{AnswerTokens: x.request.answer, CachedTokens: cached, Whole: whole, Fault: !whole})
+	r.run(x, picker.Outcome{AnswerTokens: x.request.answer, CachedTokens: cached, Complete: whole, EndpointFault: !whole})
 	if x.request.measured && x.inside.started {
 		r.f.result.starts++
 		if cached > 0 {
@@ -242,7 +242,7 @@
 func (x *fleetRun) retry() {
 	q, r := x.request, x.router
 	q.tried = append(q.tried, x.stats)
-	if len(q.tried) >= maxTries || r.f.clock.now >= q.deadline || !r.retries.Retry() {
+	if len(q.tried) >= maxTries || r.f.clock.now >= q.deadline || !r.retries.AllowRetry() {
 		r.give(q, false)
 		return
 	}
@@ -256,7 +256,7 @@
 	}
 	x.ended = true
 	made := x.engine.cancel(x.inside)
-	x.run.Text(x.router.now(), int64(made))
+	x.run.RecordChunks(x.router.now(), int64(made))
 	x.waste(made)
 	x.router.run(x, picker.Outcome{CachedTokens: -1})
 	x.router.give(x.request, false)
--- a/measurer/picker_slopes.go
+++ b/measurer/picker_slopes.go
@@ -30,7 +30,7 @@
 	for i := range n {
 		es = append(es, rattanhoist.NewEndpoint(rattanhoist.EndpointFields{
 			Name: fmt.Sprintf("worker-%05d", i), Service: "llm", Zone: zoneName(i), Incarnation: 1,
-			Capacity: fleetCapacity, Load: int64(i % fleetCapacity), Heard: pickStart,
+			Capacity: fleetCapacity, Load: int64(i % fleetCapacity), AnnouncedAt: pickStart,
 		}))
 	}
 	return es
@@ -104,7 +104,7 @@
 func admissionSeconds(n int) float64 {
 	const rounds = 5000
 	s, _ := admitter.New(admitter.None)
-	q := admitter.NewQueue(admitter.Bounds{Waiting: n + 1, Workspace: n + 1}, s)
+	q := admitter.NewQueue(admitter.Bounds{MaxWaiting: n + 1, Workspace: n + 1}, s)
 	id := uint64(0)
 	arrive := func() {
 		id++
--- a/measurer/spread_outage.go
+++ b/measurer/spread_outage.go
@@ -131,7 +131,7 @@
 	d := c.NewRestorer()
 	for _, bucket := range replicator.Buckets {
 		if err := store.Each(bucket, func(key string, value []byte) error {
-			d.Row(bucket, key, slices.Clone(value))
+			d.AddRow(bucket, key, slices.Clone(value))
 			return nil
 		}); err != nil {
 			return nil, err
--- a/measurer/vault_prune.go
+++ b/measurer/vault_prune.go
@@ -58,7 +58,7 @@
 		}
 		if at%(2*time.Hour) == 0 {
 			caseName := fmt.Sprintf("pruning %v, after %s", prune, at)
-			r.Figure(caseName, "disk_bytes", float64(store.Used()), "bytes")
+			r.Figure(caseName, "disk_bytes", float64(store.UsedBytes()), "bytes")
 			r.Figure(caseName, "copy_bytes", float64(copyBytes(store)), "bytes")
 		}
 	}
@@ -98,7 +98,7 @@
 }
 
 func (d *steadyDisk) commit(rows []budgeter.Write) error {
-	err := applyCopy(d.store, budgeter.CopyRows(rows))
+	err := applyCopy(d.store, budgeter.MergeWrites(rows))
 	d.vault.Synced()
 	return err
 }
@@ -107,9 +107,9 @@
 	for more := true; more; {
 		e := budgeter.Prune{
 			Retention: steadyRetention, OldestChargeMs: d.vault.OldestChargeMs(), UnsettledMs: math.MaxInt64,
-			Heard: map[string]budgeter.Heard{"router-000": {Incarnation: 1, AnsweredBeforeMs: d.now.UnixMilli()}},
+			Reports: map[string]budgeter.RouterReport{"router-000": {Incarnation: 1, AnsweredBeforeMs: d.now.UnixMilli()}},
 		}
-		for len(d.kept) > 0 && len(e.Charges) < budgeter.PruneMost && d.kept[0].at.Add(steadyRetention).UnixMilli() < e.OldestChargeMs {
+		for len(d.kept) > 0 && len(e.Charges) < budgeter.MaxPrunedPerStep && d.kept[0].at.Add(steadyRetention).UnixMilli() < e.OldestChargeMs {
 			e.Charges = append(e.Charges, d.kept[0].key)
 			d.kept = d.kept[1:]
 		}
--- a/measurer/vault_state.go
+++ b/measurer/vault_state.go
@@ -28,7 +28,7 @@
 
 func newVault(rows budgeter.Rows) *budgeter.Vault {
 	v := budgeter.NewVault("a", rows)
-	v.Step(time.Time{}, budgeter.Begin{Incarnation: 1})
+	v.Step(time.Time{}, budgeter.StartIncarnation{Incarnation: 1})
 	return v
 }
 
@@ -75,16 +75,16 @@
 	for i := range group {
 		rows = append(rows, bill(v, vaultCharge(fmt.Sprintf("workspace-%06d", i%tenWorkspaces), i))...)
 	}
-	total := proto.Size(c.Prepare(budgeter.CopyRows(rows)))
+	total := proto.Size(c.Prepare(budgeter.MergeWrites(rows)))
 	if claims {
-		total += proto.Size(c.Prepare(budgeter.CopyRows(claimed(v, rows))))
+		total += proto.Size(c.Prepare(budgeter.MergeWrites(claimed(v, rows))))
 	}
 	return float64(total) / float64(group)
 }
 
 // claimed ends the search for second bills of the charges among rows.
 func claimed(v *budgeter.Vault, rows []budgeter.Write) (out []budgeter.Write) {
-	e := budgeter.BillsClaimed{Counting: map[string][]string{}}
+	e := budgeter.SettleClaims{Counting: map[string][]string{}}
 	for _, w := range rows {
 		if w.Bucket == budgeter.BucketUnclaimed {
 			e.Counting[w.Key] = []string{"a"}
@@ -115,14 +115,14 @@
 	const step, group = 20000, 500
 	for n := 0; n <= 4*step; n += group {
 		if n%step == 0 {
-			points = append(points, Point{X: float64(n), Y: float64(store.Used())})
+			points = append(points, Point{X: float64(n), Y: float64(store.UsedBytes())})
 		}
 		var rows []budgeter.Write
 		for i := range group {
 			rows = append(rows, bill(v, vaultCharge(fmt.Sprintf("workspace-%06d", i%tenWorkspaces), n+i))...)
 		}
 		for _, commit := range [][]budgeter.Write{rows, claimed(v, rows)} {
-			if err := applyCopy(store, budgeter.CopyRows(commit)); err != nil {
+			if err := applyCopy(store, budgeter.MergeWrites(commit)); err != nil {
 				return err
 			}
 			v.Synced()
--- a/messenger/spend_server.go
+++ b/messenger/spend_server.go
@@ -100,7 +100,7 @@
 		defer cancel()
 	}
 	method := methodOf(r)
-	ctx, span := tracer.BeginServed(ctx, method, r.Traceparent)
+	ctx, span := tracer.StartServerSpan(ctx, method, r.Traceparent)
 	out, err := s.answer(ctx, r)
 	span.End(err)
 	if count(method, err) != nil {
--- a/messenger/spend_stream.go
+++ b/messenger/spend_stream.go
@@ -144,7 +144,7 @@
 // call sends a request and returns the answer to it, or fails with the
 // context, with the stream, or as the keeper says.
 func (t *spendStream) call(ctx context.Context, method string, r *SpendRequest) (out *SpendReply, err error) {
-	ctx, span := tracer.BeginCall(ctx, method)
+	ctx, span := tracer.StartClientSpan(ctx, method)
 	defer func() { span.End(err) }()
 	r.Traceparent = tracer.Traceparent(ctx)
 	done := make(chan *SpendReply, 1)
--- a/messenger/tracing.go
+++ b/messenger/tracing.go
@@ -9,7 +9,7 @@
 
 // serverTracing adds a span to every call served, when traces are on.
 func serverTracing() []grpc.ServerOption {
-	if !tracer.On() {
+	if !tracer.Enabled() {
 		return nil
 	}
 	return []grpc.ServerOption{grpc.StatsHandler(otelgrpc.NewServerHandler())}
@@ -18,7 +18,7 @@
 // clientTracing adds a span to every call made within a trace, when traces
 // are on.
 func clientTracing() []grpc.DialOption {
-	if !tracer.On() {
+	if !tracer.Enabled() {
 		return nil
 	}
 	return []grpc.DialOption{grpc.WithStatsHandler(otelgrpc.NewClientHandler())}
--- a/moment.go
+++ b/moment.go
@@ -27,8 +27,8 @@
 // NewMoment returns a Moment with the given readings.
 func NewMoment(monotonic, wall time.Duration) Moment { return Moment{monotonic: monotonic, wall: wall} }
 
-// Steady returns the reading of the monotonic clock, as time since the process start.
-func (m Moment) Steady() time.Duration { return m.monotonic }
+// Monotonic returns the reading of the monotonic clock, as time since the process start.
+func (m Moment) Monotonic() time.Duration { return m.monotonic }
 
 // Wall returns the reading of the wall clock, as time since 1970.
 func (m Moment) Wall() time.Duration { return m.wall }
--- a/narrator/narrator.go
+++ b/narrator/narrator.go
@@ -118,10 +118,10 @@
 	return l
 }
 
-// Story returns the history of a request in chronological order: the lines that
+// History returns the history of a request in chronological order: the lines that
 // name the request, and lines that show the state known to the processes
 // involved. It returns nil if no line names the request.
-func Story(all []*Line, request string) []*Line {
+func History(all []*Line, request string) []*Line {
 	alignClocks(all)
 	var own, out []*Line
 	for _, l := range all {
@@ -234,10 +234,10 @@
 	return s.processes[l.Process] || l.Message == "log" || strings.HasPrefix(l.Message, "disk ")
 }
 
-// Before returns the state in which the history of a request begins: the last
+// StateBefore returns the state in which the history of a request begins: the last
 // line of each kind of state that the request's process wrote before, and the
 // last line about the prepaid total of its workspace.
-func Before(all, story []*Line) []*Line {
+func StateBefore(all, story []*Line) []*Line {
 	i := slices.IndexFunc(story, func(l *Line) bool { return l.Own })
 	if i < 0 {
 		return nil
--- a/narrator/narrator_test.go
+++ b/narrator/narrator_test.go
@@ -55,12 +55,12 @@
 			formatLine(100.2, "k1", "log", `,"leader":"k2"`),
 		"r2.log": formatLine(100.1, "r2", "rights borrowed", `,"tokens":1`),
 	})
-	story := narrator.Story(all, "x1")
+	story := narrator.History(all, "x1")
 	g.Expect(processMessages(story)).To(gomega.Equal([]string{"r1: rights borrowed", "k1: prepaid total", "k1: log", "r1: ended"}))
-	g.Expect(processMessages(narrator.Before(all, story))).To(gomega.Equal([]string{
+	g.Expect(processMessages(narrator.StateBefore(all, story))).To(gomega.Equal([]string{
 		"k1: prepaid total", "r1: configuration in force", "r1: no keeper answers; serving what is known",
 	}))
-	g.Expect(narrator.Story(all, "x2")).To(gomega.BeEmpty())
+	g.Expect(narrator.History(all, "x2")).To(gomega.BeEmpty())
 }
 
 // A request is held back a minute after endpoints broke off while serving
@@ -75,7 +75,7 @@
 		"k1.log": formatLine(93, "k1", "request held back: endpoints ended under it", `,"content":"c1","workspace":"w"`) +
 			formatLine(93, "k1", "request held back: endpoints ended under it", `,"content":"c7","workspace":"w"`),
 	})
-	g.Expect(processMessages(narrator.Story(all, "x1"))).To(gomega.Equal([]string{
+	g.Expect(processMessages(narrator.History(all, "x1"))).To(gomega.Equal([]string{
 		"r2: endpoint ended under requests", "k1: request held back: endpoints ended under it", "r1: ended",
 	}))
 }
@@ -99,7 +99,7 @@
 		"cut":    learn("cut", 0.3, map[int]float64{2: 8}),
 		"k1.log": learn("k1", 5, nil) + formatLine(155.5, "k1", "prepaid total", `,"workspace":"w"`),
 	})
-	story := narrator.Story(all, "x")
+	story := narrator.History(all, "x")
 	g.Expect(processMessages(story)).To(gomega.Equal([]string{"r1: configuration in force", "k1: prepaid total", "r1: ended"}))
 	for _, l := range all {
 		want := 0.0
--- a/picker/estimate.go
+++ b/picker/estimate.go
@@ -20,22 +20,22 @@
 	// 0 if there are too few recent samples to reject requests by it.
 	Service time.Duration
 	// MinService is the lower bound of the service time.
-	Least time.Duration
+	MinService time.Duration
 }
 
 // Estimate predicts the cost of a request from the last runs of the service.
 func (s *Service) Estimate(q Query, now time.Duration) Estimate {
 	e := Estimate{Tokens: s.AnswerTokens(q.MaxAnswer)}
-	if !s.Learned(now, learnedValidity) {
+	if !s.HasRecentSamples(now, learnedValidity) {
 		return e
 	}
 	if q.MaxAnswer == 0 {
 		e.Service = time.Duration(s.callTime.value(0) * float64(time.Second))
-		e.Least = time.Duration(minServiceShare * float64(e.Service))
+		e.MinService = time.Duration(minServiceShare * float64(e.Service))
 		return e
 	}
 	x := e.Tokens*s.TokenTime() + float64(q.PromptTokens)*s.promptTime.value(assumedPrefillTime)
 	e.Service = time.Duration(x * float64(time.Second))
-	e.Least = time.Duration(minServiceShare * x * float64(time.Second))
+	e.MinService = time.Duration(minServiceShare * x * float64(time.Second))
 	return e
 }
--- a/picker/free_capacity.go
+++ b/picker/free_capacity.go
@@ -10,7 +10,7 @@
 
 // FreeCapacity returns how many requests this router may have in progress at the
 // set's endpoints: their capacity minus what other routers use of it.
-func (s *Set) Room(t time.Time) int {
+func (s *Set) FreeCapacity(t time.Time) int {
 	now := s.at(t)
 	if last := s.freeCapacityAt.Load(); last != 0 && int64(now.Duration)-last < int64(freeCapacityTTL) {
 		return int(s.freeCapacity.Load())
--- a/picker/ledger.go
+++ b/picker/ledger.go
@@ -68,7 +68,7 @@
 }
 
 // RemoveIdle removes endpoints that no set has listed for the given time.
-func (l *Ledger) Forget(now time.Time, idle time.Duration) {
+func (l *Ledger) RemoveIdle(now time.Time, idle time.Duration) {
 	at := l.Since(now)
 	l.endpoints.Range(func(name, v any) bool {
 		if int64(at)-v.(*Stats).usedAt.Load() > int64(idle) {
@@ -123,7 +123,7 @@
 }
 
 // Lookup returns the statistics of an endpoint by name, or nil.
-func (l *Ledger) Known(name string) *Stats {
+func (l *Ledger) Lookup(name string) *Stats {
 	v, ok := l.endpoints.Load(name)
 	if !ok {
 		return nil
@@ -134,7 +134,7 @@
 // ApplyCacheEvent records that an endpoint has stored or evicted a prefix.
 // Events arrive late and with gaps, so they only supplement what the ledger
 // records by itself.
-func (l *Ledger) CacheEvent(e *rattanhoist.Endpoint, prefix uint64, stored bool, now time.Time) {
+func (l *Ledger) ApplyCacheEvent(e *rattanhoist.Endpoint, prefix uint64, stored bool, now time.Time) {
 	id := l.Stats(e).id
 	if stored {
 		l.prefixes.add(prefix, id, l.Since(now))
--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -23,7 +23,7 @@
 
 func endpointNamed(name, zone string, load int64, heard time.Time) *rattanhoist.Endpoint {
 	return rattanhoist.NewEndpoint(rattanhoist.EndpointFields{
-		Name: name, Service: "llm", Zone: zone, Incarnation: 1, Capacity: 16, Load: load, Heard: heard,
+		Name: name, Service: "llm", Zone: zone, Incarnation: 1, Capacity: 16, Load: load, AnnouncedAt: heard,
 	})
 }
 
@@ -49,13 +49,13 @@
 // run records a complete response of 100 tokens at an endpoint.
 func run(l *picker.Ledger, c *picker.Candidate, q picker.Query, first, token time.Duration) {
 	r := l.Begin(c, q)
-	r.First(q.Now.Add(first))
-	r.End(q.Now.Add(first+99*token), picker.Outcome{AnswerTokens: 100, CachedTokens: -1, Whole: true}, 0)
+	r.RecordFirstToken(q.Now.Add(first))
+	r.End(q.Now.Add(first+99*token), picker.Outcome{AnswerTokens: 100, CachedTokens: -1, Complete: true}, 0)
 }
 
 func fail(l *picker.Ledger, c *picker.Candidate, q picker.Query) {
 	r := l.Begin(c, q)
-	r.End(q.Now.Add(time.Millisecond), picker.Outcome{CachedTokens: -1, Fault: true}, 0)
+	r.End(q.Now.Add(time.Millisecond), picker.Outcome{CachedTokens: -1, EndpointFault: true}, 0)
 }
 
 // shares picks n times with different seeds and returns the number of picks by
@@ -150,7 +150,7 @@
 		g.Expect(made(name).Pick(q, s)).To(gomega.BeNumerically(">=", 0), name)
 		q.Now = start.Add(10 * time.Second)
 		g.Expect(made(name).Pick(q, s)).To(gomega.Equal(-1), name)
-		g.Expect(s.Room(q.Now)).To(gomega.BeZero(), name)
+		g.Expect(s.FreeCapacity(q.Now)).To(gomega.BeZero(), name)
 	}
 }
 
@@ -173,7 +173,7 @@
 		g.Expect(shares(p, s, q, 50)).To(gomega.HaveKey(bad), "probed back: "+name)
 		probe := l.Begin(s.At(0), q)
 		g.Expect(shares(p, s, q, 50)).NotTo(gomega.HaveKey(bad), "one probe at a time: "+name)
-		probe.End(q.Now.Add(time.Millisecond), picker.Outcome{AnswerTokens: 1, CachedTokens: -1, Whole: true}, 0)
+		probe.End(q.Now.Add(time.Millisecond), picker.Outcome{AnswerTokens: 1, CachedTokens: -1, Complete: true}, 0)
 		g.Expect(shares(p, s, q, 50)).To(gomega.HaveKey(bad), "back in service: "+name)
 	}
 }
@@ -234,7 +234,7 @@
 		l.Begin(holder, query(99))
 	}
 	g.Expect(shares(made(picker.Deadline), s, query(99), 30)).NotTo(gomega.HaveKey(name), "a long queue outweighs the cache")
-	l.CacheEvent(holder.Endpoint(), 99, false, start)
+	l.ApplyCacheEvent(holder.Endpoint(), 99, false, start)
 	g.Expect(shares(made(picker.Deadline), s, query(99), 30)).NotTo(gomega.HaveKey(name), "an eviction is heard")
 }
 
@@ -264,7 +264,7 @@
 		fail(l, s.At(0), query(1))
 	}
 	g.Expect(s.At(0).Stats().Ejected()).To(gomega.BeTrue())
-	e := rattanhoist.NewEndpoint(rattanhoist.EndpointFields{Name: s.At(0).Endpoint().Name(), Service: "llm", Incarnation: 2, Heard: start})
+	e := rattanhoist.NewEndpoint(rattanhoist.EndpointFields{Name: s.At(0).Endpoint().Name(), Service: "llm", Incarnation: 2, AnnouncedAt: start})
 	g.Expect(l.Stats(e).Ejected()).To(gomega.BeFalse())
 }
 
@@ -306,9 +306,9 @@
 				l.Begin(s.At(i), query(0))
 			}
 			r := l.Begin(s.At(0), query(0))
-			r.First(start.Add(100 * time.Millisecond))
+			r.RecordFirstToken(start.Add(100 * time.Millisecond))
 			for n := int64(1); n <= 40; n++ {
-				r.Text(start.Add(time.Duration(n)*200*time.Millisecond), n)
+				r.RecordChunks(start.Add(time.Duration(n)*200*time.Millisecond), n)
 			}
 			if cut {
 				r.End(start.Add(8*time.Second), picker.Outcome{CachedTokens: -1}, 0)
@@ -338,7 +338,7 @@
 	q := query(7)
 	r := l.Begin(s.At(2), q)
 	g.Expect(shares(made(picker.Deadline), s, q, 100)).NotTo(gomega.HaveKey("unknown"))
-	r.First(start.Add(100 * time.Millisecond))
-	r.Text(start.Add(400*time.Millisecond), 16)
+	r.RecordFirstToken(start.Add(100 * time.Millisecond))
+	r.RecordChunks(start.Add(400*time.Millisecond), 16)
 	g.Expect(shares(made(picker.Deadline), s, q, 100)).To(gomega.HaveKey("unknown"))
 }
--- a/picker/run.go
+++ b/picker/run.go
@@ -38,10 +38,10 @@
 	// doesn't report it.
 	CachedTokens int64
 	// Complete is set if the response is complete.
-	Whole bool
+	Complete bool
 	// EndpointFault is set if the endpoint caused the failure, as opposed to a
 	// caller that left or a deadline that passed.
-	Fault bool
+	EndpointFault bool
 }
 
 // BeginAt records a dispatch to an endpoint that is not taken from a set.
@@ -65,7 +65,7 @@
 }
 
 // RecordFirstToken records the arrival of the first token of the response.
-func (r *Run) First(at time.Time) {
+func (r *Run) RecordFirstToken(at time.Time) {
 	now := r.ledger.Since(at)
 	r.firstTokenAt = now
 	if r.prompt < 1 {
@@ -81,7 +81,7 @@
 }
 
 // RecordChunks records that n chunks of the response have arrived so far.
-func (r *Run) Text(at time.Time, n int64) {
+func (r *Run) RecordChunks(at time.Time, n int64) {
 	r.chunks = n
 	if n >= earlyChunks && !r.earlyLearned {
 		r.earlyLearned = true
@@ -104,12 +104,12 @@
 func (r *Run) End(at time.Time, o Outcome, random float64) {
 	now := r.ledger.Since(at)
 	r.stats.inFlight.Add(-1)
-	if o.Fault {
+	if o.EndpointFault {
 		r.stats.gate.Step(now, ejector.Failed, random)
 		r.ledger.prefixes.remove(r.prefix, r.stats.id)
 		return
 	}
-	if !o.Whole {
+	if !o.Complete {
 		r.learnTokenTime(now)
 		return
 	}
--- a/picker/set.go
+++ b/picker/set.go
@@ -73,7 +73,7 @@
 }
 
 // HasFresh reports whether any endpoint is fresh, including ejected ones.
-func (s *Set) Alive(t time.Time) bool {
+func (s *Set) HasFresh(t time.Time) bool {
 	now := s.at(t)
 	for i := range s.candidates {
 		if s.fresh(&s.candidates[i], now) {
@@ -92,7 +92,7 @@
 
 // recordLoad adds the endpoint's last load report to its statistics.
 func (c *Candidate) recordLoad(l *Ledger) {
-	c.stats.recordReport(l.Since(c.endpoint.Heard()), float64(c.endpoint.Load()))
+	c.stats.recordReport(l.Since(c.endpoint.AnnouncedAt()), float64(c.endpoint.Load()))
 }
 
 // fallback returns a fresh candidate that was not tried, even if it is ejected:
--- a/picker/stats.go
+++ b/picker/stats.go
@@ -72,7 +72,7 @@
 
 // HasRecentSamples reports whether there are enough complete runs to reject
 // requests by their statistics, the last of them at most age ago.
-func (s *Service) Learned(now, age time.Duration) bool {
+func (s *Service) HasRecentSamples(now, age time.Duration) bool {
 	const enough = 8
 	return s.samples.Load() >= enough && int64(now)-s.learnedAt.Load() <= int64(age)
 }
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -119,7 +119,7 @@
 // becomes unreachable between two bursts would lack the rights for the next
 // hour of its traffic.
 var _ = ginkgo.It("averages demand over bursts", func() {
-	var m placer.Meter
+	var m placer.DemandAverage
 	now := time.Unix(0, 0)
 	gomega.Expect(m.Rate()).To(gomega.BeZero())
 	for i := range 3600 {
--- a/pooler/exchange.go
+++ b/pooler/exchange.go
@@ -43,7 +43,7 @@
 	// Length is the length of the body, or -1 if it isn't known beforehand.
 	Length int64
 	// CloseDelimited is set if the end of the connection marks the end of the answer.
-	Unframed bool
+	CloseDelimited bool
 
 	pool             *Pool
 	conn             *conn
@@ -136,10 +136,10 @@
 			continue
 		}
 		match := p.match(h.Header, r.ID)
-		if match == Own || match == Unnamed && h.StatusCode >= http.StatusMultipleChoices {
+		if match == MatchOwn || match == MatchUnnamed && h.StatusCode >= http.StatusMultipleChoices {
 			return p.newAnswer(c, h, written), nil
 		}
-		if match == Unnamed || h.Close || h.ContentLength < 0 && len(h.TransferEncoding) == 0 {
+		if match == MatchUnnamed || h.Close || h.ContentLength < 0 && len(h.TransferEncoding) == 0 {
 			return nil, merry.New("answer of another request")
 		}
 		if _, err := io.Copy(io.Discard, h.Body); err != nil {
@@ -153,11 +153,11 @@
 func (p *Pool) newAnswer(c *conn, h *http.Response, written *atomic.Bool) *Answer {
 	a := &Answer{
 		Status: h.StatusCode, Header: h.Header, Length: h.ContentLength,
-		Unframed: h.ContentLength < 0 && len(h.TransferEncoding) == 0,
-		pool:     p, conn: c, written: written,
+		CloseDelimited: h.ContentLength < 0 && len(h.TransferEncoding) == 0,
+		pool:           p, conn: c, written: written,
 	}
 	a.Body = &completionReader{reader: h.Body, complete: &a.complete}
-	if !h.Close && !a.Unframed {
+	if !h.Close && !a.CloseDelimited {
 		a.reuseTimeout = reuseTimeout(h.Header)
 	}
 	return a
@@ -191,7 +191,7 @@
 }
 
 // Complete reports whether the body was read to its regular end.
-func (a *Answer) Ended() bool { return a.complete }
+func (a *Answer) Complete() bool { return a.complete }
 
 // Close returns the connection to the pool if the answer was read to its end and the
 // request was written completely. Otherwise it closes the connection.
--- a/pooler/pooler.go
+++ b/pooler/pooler.go
@@ -24,7 +24,7 @@
 	ErrMayHaveRun = merry.Sentinel("request sent, outcome unknown")
 	// ErrConnectionLimit means that this router may not open more connections to the
 	// endpoint. Nothing was sent.
-	ErrBound = merry.Sentinel("connection bound reached")
+	ErrConnectionLimit = merry.Sentinel("connection bound reached")
 )
 
 const (
@@ -58,12 +58,12 @@
 	ID      string
 	Address string
 	// MaxConnections is the limit on this router's connections to the endpoint.
-	Most int
+	MaxConnections int
 }
 
 // Pool holds the connections to all endpoints. It is safe for concurrent use.
 type Pool struct {
-	match  func(http.Header, string) Belonging
+	match  func(http.Header, string) AnswerMatch
 	mu     sync.Mutex
 	peers  map[string]*peer
 	opened func()
@@ -133,21 +133,21 @@
 }
 
 // AnswerMatch tells whether an answer belongs to a request.
-type Belonging int
+type AnswerMatch int
 
 // Results of matching an answer to a request.
 const (
 	// MatchOwn is the match of answers with the request's id.
-	Own Belonging = iota
+	MatchOwn AnswerMatch = iota
 	// MatchStray is the match of answers with another id.
-	Stray
+	MatchStray
 	// MatchUnnamed is the match of answers without an id.
-	Unnamed
+	MatchUnnamed
 )
 
 // New returns a pool. The function match matches the header of an answer to the request
 // with an id; opened is called for each new connection.
-func New(match func(h http.Header, id string) Belonging, opened func()) *Pool {
+func New(match func(h http.Header, id string) AnswerMatch, opened func()) *Pool {
 	return &Pool{match: match, peers: map[string]*peer{}, opened: opened}
 }
 
@@ -191,8 +191,8 @@
 		x.busy[c] = true
 		return c, nil
 	}
-	if x.open >= max(t.Most, 1) {
-		return nil, ErrBound
+	if x.open >= max(t.MaxConnections, 1) {
+		return nil, ErrConnectionLimit
 	}
 	x.open++
 	return nil, nil
@@ -293,7 +293,7 @@
 }
 
 // CloseIdle closes the idle connections to an endpoint.
-func (p *Pool) Forget(id string) {
+func (p *Pool) CloseIdle(id string) {
 	p.mu.Lock()
 	var idle []*conn
 	if x := p.peers[id]; x != nil {
@@ -307,8 +307,8 @@
 
 // CloseAll closes all connections to an endpoint whose process is known to have ended.
 // Requests in progress there may have run.
-func (p *Pool) End(id string) {
-	p.Forget(id)
+func (p *Pool) CloseAll(id string) {
+	p.CloseIdle(id)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if x := p.peers[id]; x != nil {
@@ -320,7 +320,7 @@
 }
 
 // CloseExpired closes idle connections that are too old to be reused.
-func (p *Pool) Sweep(now time.Time) {
+func (p *Pool) CloseExpired(now time.Time) {
 	var old []*conn
 	p.mu.Lock()
 	for _, x := range p.peers {
--- a/predictor/bench_test.go
+++ b/predictor/bench_test.go
@@ -22,7 +22,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				w := t.Choose(now, ask(1_800, predictor.Part{ID: strconv.Itoa(i % 64), Tokens: 500}))
-				w.First(now)
+				w.ObserveFirstByte(now)
 				w.End()
 			}
 		})
--- a/predictor/candidates.go
+++ b/predictor/candidates.go
@@ -16,14 +16,14 @@
 
 // candidates returns the endpoints to evaluate for a request. In a large group, that is a
 // random sample of constant size and the home endpoint.
-func (g *group) candidates(a Ask, home *Endpoint) []*Endpoint {
+func (g *group) candidates(a Request, home *Endpoint) []*Endpoint {
 	if len(g.endpoints) <= maxExhaustive {
 		return g.endpoints
 	}
 	out := make([]*Endpoint, 0, localCandidates+remoteCandidates+dedicatedCandidates+1)
 	out = appendRandom(out, g.local, localCandidates)
 	out = appendRandom(out, g.remote, remoteCandidates)
-	if a.Prompt != nil && a.Prompt.In >= veryLongPromptTokens {
+	if a.Prompt != nil && a.Prompt.InputTokens >= veryLongPromptTokens {
 		out = appendRandom(out, g.localDedicated, dedicatedCandidates)
 	}
 	if home != nil {
--- a/predictor/candidates_test.go
+++ b/predictor/candidates_test.go
@@ -19,7 +19,7 @@
 		if i%10 == 0 {
 			zone = "b"
 		}
-		list = append(list, NewEndpoint(enroller.Beat{
+		list = append(list, NewEndpoint(enroller.Heartbeat{
 			Incarnation: enroller.Incarnation{ID: "i-" + strconv.Itoa(i)}, Service: "llm", Zone: zone, Slots: 12,
 		}))
 	}
@@ -28,8 +28,8 @@
 }
 
 // sharing returns a request whose prompt starts with the given shared part.
-func sharing(part string) Ask {
-	return Ask{Service: "llm", Prompt: &Prompt{In: 6_000, Out: 100, Parts: []Part{{ID: part, Tokens: 5_000}, {ID: "own", Tokens: 1_000}}}}
+func sharing(part string) Request {
+	return Request{Service: "llm", Prompt: &Prompt{InputTokens: 6_000, MaxOutputTokens: 100, Parts: []Part{{ID: part, Tokens: 5_000}, {ID: "own", Tokens: 1_000}}}}
 }
 
 // Guards against a choice that evaluates all endpoints of a large service for each request:
@@ -78,7 +78,7 @@
 	g := gomega.NewWithT(t)
 	x, list := largeTable(1_000)
 	for _, e := range list[1:] {
-		e.Lose()
+		e.Exclude()
 	}
 	g.Expect(x.Choose(time.Now(), sharing("p")).Endpoint()).To(gomega.BeIdenticalTo(list[0]))
 }
@@ -92,10 +92,10 @@
 	g.Expect(len(group.localDedicated)).To(gomega.Equal(28))
 	seen := map[*Endpoint]bool{}
 	for range 200 {
-		w := x.Choose(now, Ask{Service: "llm", Prompt: &Prompt{In: 30_000, Out: 100, Parts: []Part{{ID: "own", Tokens: 30_000}}}})
+		w := x.Choose(now, Request{Service: "llm", Prompt: &Prompt{InputTokens: 30_000, MaxOutputTokens: 100, Parts: []Part{{ID: "own", Tokens: 30_000}}}})
 		g.Expect(group.dedicated[w.Endpoint()]).To(gomega.BeTrue())
 		seen[w.Endpoint()] = true
-		w.First(now)
+		w.ObserveFirstByte(now)
 		w.End()
 	}
 	g.Expect(len(seen)).To(gomega.BeNumerically(">", 10))
--- a/predictor/endpoint.go
+++ b/predictor/endpoint.go
@@ -71,7 +71,7 @@
 	Parts []Part
 	// InputTokens is the number of prompt tokens, MaxOutputTokens the maximum number of
 	// tokens to generate.
-	In, Out int64
+	InputTokens, MaxOutputTokens int64
 }
 
 // Shared returns the parts that other requests may have as well: all but the last one,
@@ -95,7 +95,7 @@
 
 // unsharedTokens returns the number of prompt tokens outside the shared parts.
 func (p *Prompt) unsharedTokens() int64 {
-	left := p.In
+	left := p.InputTokens
 	for _, part := range p.Shared() {
 		left -= part.Tokens
 	}
@@ -105,7 +105,7 @@
 // Endpoint is one incarnation of an endpoint together with this router's view of it. It is
 // safe for concurrent use.
 type Endpoint struct {
-	beat enroller.Beat
+	beat enroller.Heartbeat
 	// name is the incarnation in text form.
 	name string
 	gate ejector.Gate
@@ -145,7 +145,7 @@
 }
 
 // AddCachedParts records parts that the endpoint itself reports as cached.
-func (e *Endpoint) Keeps(parts []Part) {
+func (e *Endpoint) AddCachedParts(parts []Part) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range parts {
@@ -211,7 +211,7 @@
 // sentAt, and returns what changed.
 func (e *Endpoint) Observe(s State, sentAt, now time.Time) StateChange {
 	if s.Cold > 0 {
-		e.warmup.Extend(now, now.Add(s.Cold))
+		e.warmup.SetReportedCold(now, now.Add(s.Cold))
 	}
 	if s.Load != nil {
 		e.ObserveLoad(now, *s.Load)
@@ -224,7 +224,7 @@
 }
 
 // NewEndpoint returns an endpoint without any measurements.
-func NewEndpoint(b enroller.Beat) *Endpoint {
+func NewEndpoint(b enroller.Heartbeat) *Endpoint {
 	return &Endpoint{
 		beat: b, name: b.String(), model: NewLatencyModel(), prefillFactor: 1,
 		parts: map[string]partUse{}, cacheTokens: defaultCacheTokens, sweepAt: minPartsToSweep,
@@ -242,7 +242,7 @@
 }
 
 // Beat returns the endpoint's announcement.
-func (e *Endpoint) Beat() enroller.Beat { return e.beat }
+func (e *Endpoint) Beat() enroller.Heartbeat { return e.beat }
 
 // Name returns the incarnation in text form. It identifies the endpoint in the connection
 // pool and in messages between routers.
@@ -257,7 +257,7 @@
 
 // Exclude permanently removes the endpoint from this router's candidates: another
 // incarnation answered at its address, or it is leaving.
-func (e *Endpoint) Lose() { e.excluded.Store(true) }
+func (e *Endpoint) Exclude() { e.excluded.Store(true) }
 
 // Running returns the number of this router's requests at the endpoint.
 func (e *Endpoint) Running() int {
@@ -297,7 +297,7 @@
 	if cacheTokens > 0 {
 		e.cacheTokens = cacheTokens
 	}
-	uncached := p.In
+	uncached := p.InputTokens
 	for _, part := range p.Shared() {
 		u, ok := e.parts[part.ID]
 		if !ok || e.evicted(u) || u.reportedTokens > 0 && u.reportedTokens < part.Tokens {
@@ -311,7 +311,7 @@
 // prefilledTokens returns the number of prompt tokens in the cache whose prefill is
 // predicted to be complete.
 func (e *Endpoint) prefilledTokens(p *Prompt, cacheTokens int64) int64 {
-	cached := p.In - e.uncachedTokens(p, cacheTokens)
+	cached := p.InputTokens - e.uncachedTokens(p, cacheTokens)
 	var sum int64
 	for _, part := range p.Shared() {
 		if sum += part.Tokens; sum > cached || e.parts[part.ID].queuePosition > e.queue.processed {
@@ -355,11 +355,11 @@
 }
 
 // RecordDispatch records a prompt that another router sent to the endpoint.
-func (e *Endpoint) Sent(now time.Time, d Dispatch) {
+func (e *Endpoint) RecordDispatch(now time.Time, d Dispatch) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	position := e.queue.add(now, d.Takes, e.currentPrefillFactor(now))
-	e.recordPrefill(d.Unread, position, d.Parts)
+	position := e.queue.add(now, d.PrefillTime, e.currentPrefillFactor(now))
+	e.recordPrefill(d.UncachedTokens, position, d.Parts)
 }
 
 // currentPrefillFactor returns the prefill factor, which decays towards 1 without new
@@ -372,20 +372,20 @@
 type Dispatch struct {
 	// UncachedTokens is the number of tokens that the endpoint has to prefill, and
 	// PrefillTime how long that takes a typical endpoint.
-	Unread int64
-	Takes  time.Duration
+	UncachedTokens int64
+	PrefillTime    time.Duration
 	// Parts are the ids of the shared parts.
 	Parts []string
 }
 
 // UncachedTokens returns the number of prompt tokens that the endpoint has to prefill.
-func (w *Work) Unread() int64 { return w.dispatch.Unread }
+func (w *Assignment) UncachedTokens() int64 { return w.dispatch.UncachedTokens }
 
 // Dispatch returns the information to send to other routers about the assignment.
-func (w *Work) Dispatch() Dispatch { return w.dispatch }
+func (w *Assignment) Dispatch() Dispatch { return w.dispatch }
 
 // Assignment is a request at an endpoint, from its dispatch to its end.
-type Work struct {
+type Assignment struct {
 	endpoint *Endpoint
 	dispatch Dispatch
 	// promptTokens is the length of the prompt; 0 for plain requests.
@@ -402,18 +402,18 @@
 }
 
 // PredictedFirstEvent returns the time to the first event as predicted at dispatch.
-func (w *Work) Predicted() time.Duration { return w.predictedFirstEvent }
+func (w *Assignment) PredictedFirstEvent() time.Duration { return w.predictedFirstEvent }
 
 // CacheSource returns the endpoint from which this one should fetch cached parts of the
 // prompt, or nil.
-func (w *Work) Donor() *Endpoint { return w.cacheSource }
+func (w *Assignment) CacheSource() *Endpoint { return w.cacheSource }
 
 // Endpoint returns the endpoint that the request was assigned to.
-func (w *Work) Endpoint() *Endpoint { return w.endpoint }
+func (w *Assignment) Endpoint() *Endpoint { return w.endpoint }
 
 // ObserveFirstByte records the arrival of the first byte of the answer's body and updates
 // the latency estimates with it.
-func (w *Work) First(now time.Time) {
+func (w *Assignment) ObserveFirstByte(now time.Time) {
 	if w.started {
 		return
 	}
@@ -446,12 +446,12 @@
 // learnPrefill updates the endpoint's prefill factor with the time to the first event of a
 // prompt and of what was queued before it. If nothing was queued, it updates the latency
 // model of the service as well.
-func (e *Endpoint) learnPrefill(now time.Time, w *Work, took time.Duration) {
+func (e *Endpoint) learnPrefill(now time.Time, w *Assignment, took time.Duration) {
 	factor := e.currentPrefillFactor(now)
 	if w.queuedBefore == 0 && factor < typicalFactorLimit && factor > 1/typicalFactorLimit {
-		e.model.ObservePrefill(w.dispatch.Unread, w.promptTokens, took)
+		e.model.ObservePrefill(w.dispatch.UncachedTokens, w.promptTokens, took)
 	}
-	expected := w.queuedBefore + w.dispatch.Takes
+	expected := w.queuedBefore + w.dispatch.PrefillTime
 	if expected < minMeasuredPrefill {
 		return
 	}
@@ -462,7 +462,7 @@
 }
 
 // End records that the request is over. It must be called once.
-func (w *Work) End() {
+func (w *Assignment) End() {
 	e := w.endpoint
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/predictor/home.go
+++ b/predictor/home.go
@@ -65,14 +65,14 @@
 // home returns the endpoint at which all routers first look for the last shared part of a
 // prompt, or nil if there is none. It is found by hashing, so it takes no communication
 // between routers, and a change of endpoints moves few parts.
-func (g *group) home(now time.Time, a Ask) *Endpoint {
+func (g *group) home(now time.Time, a Request) *Endpoint {
 	if a.Prompt == nil || len(a.Prompt.Shared()) == 0 {
 		return nil
 	}
 	shared := a.Prompt.Shared()
 	last := shared[len(shared)-1].ID
 	fits := func(e *Endpoint) bool {
-		return !g.dedicated[e] && !e.excluded.Load() && !e.gate.Blocked(a.Since) && !e.warmup.Restricted(now)
+		return !g.dedicated[e] && !e.excluded.Load() && !e.gate.Blocked(a.Elapsed) && !e.warmup.Restricted(now)
 	}
 	if g.homeRing != nil {
 		return g.homeRing.lookup(last, fits)
@@ -86,7 +86,7 @@
 	switch {
 	case p == nil:
 		return 0
-	case p.In < veryLongPromptTokens:
+	case p.InputTokens < veryLongPromptTokens:
 		return dedicatedPenalty
 	case sameZone:
 		return -dedicatedBonus
--- a/predictor/load_test.go
+++ b/predictor/load_test.go
@@ -23,7 +23,7 @@
 		for range 50 {
 			w := x.Choose(start, ask(2_000))
 			g.Expect(w.Endpoint()).To(gomega.BeIdenticalTo(list[1]), name)
-			w.First(start)
+			w.ObserveFirstByte(start)
 			w.End()
 		}
 		later, chosen := start.Add(time.Second), map[*predictor.Endpoint]int{}
--- a/predictor/parts_test.go
+++ b/predictor/parts_test.go
@@ -17,8 +17,8 @@
 // every twentieth prompt and must never be forgotten.
 func TestEvictedPartsAreForgotten(t *testing.T) {
 	g := gomega.NewWithT(t)
-	e := NewEndpoint(enroller.Beat{})
-	p := &Prompt{In: 3_000, Parts: []Part{{"hot", 1_000}, {"own", 2_000}}}
+	e := NewEndpoint(enroller.Heartbeat{})
+	p := &Prompt{InputTokens: 3_000, Parts: []Part{{"hot", 1_000}, {"own", 2_000}}}
 	e.uncachedTokens(p, 300_000)
 	for i := range 36_000 {
 		parts := []string{"part" + strconv.Itoa(i)}
--- a/predictor/plan.go
+++ b/predictor/plan.go
@@ -43,8 +43,8 @@
 
 // findCacheSources returns, for each zone, the candidate from which the most tokens of a
 // prompt can be fetched.
-func findCacheSources(now time.Time, a Ask, candidates []*Endpoint, home *Endpoint) map[string]cacheSource {
-	if a.Carry <= 0 || a.Prompt == nil {
+func findCacheSources(now time.Time, a Request, candidates []*Endpoint, home *Endpoint) map[string]cacheSource {
+	if a.TransferPerToken <= 0 || a.Prompt == nil {
 		return nil
 	}
 	out := map[string]cacheSource{}
@@ -61,36 +61,36 @@
 
 // fetchableTokens returns the number of prompt tokens in the endpoint's cache that other
 // endpoints can fetch.
-func (e *Endpoint) fetchableTokens(now time.Time, a Ask, home bool) int64 {
+func (e *Endpoint) fetchableTokens(now time.Time, a Request, home bool) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.queue.remaining(now, e.currentPrefillFactor(now)) > 0 {
 		// The prefill of recently dispatched prompts may not be complete.
-		return e.prefilledTokens(a.Prompt, a.Memory)
+		return e.prefilledTokens(a.Prompt, a.CacheTokens)
 	}
-	return a.Prompt.In - e.expectedUncachedTokens(a, home)
+	return a.Prompt.InputTokens - e.expectedUncachedTokens(a, home)
 }
 
 // fastestPlan returns the plan with the shortest time for the prefill of a prompt,
 // including transfers from other endpoints.
-func (e *Endpoint) fastestPlan(a Ask, home bool, sources map[string]cacheSource) plan {
+func (e *Endpoint) fastestPlan(a Request, home bool, sources map[string]cacheSource) plan {
 	p := plan{endpoint: e, uncachedTokens: e.expectedUncachedTokens(a, home)}
 	if a.Prompt == nil {
 		return p
 	}
-	shortest := e.model.PrefillTime(p.uncachedTokens, a.Prompt.In)
-	cached := a.Prompt.In - p.uncachedTokens
+	shortest := e.model.PrefillTime(p.uncachedTokens, a.Prompt.InputTokens)
+	cached := a.Prompt.InputTokens - p.uncachedTokens
 	for zone, d := range sources {
 		fetched := d.cachedTokens - cached
 		if d.endpoint == e || fetched < minTransferTokens {
 			continue
 		}
-		transferTime := time.Duration(fetched) * a.Carry
+		transferTime := time.Duration(fetched) * a.TransferPerToken
 		if zone != e.beat.Zone {
 			transferTime *= crossZoneTransferFactor
 		}
-		uncached := a.Prompt.In - d.cachedTokens
-		if total := transferTime + e.model.PrefillTime(uncached, a.Prompt.In); total < shortest {
+		uncached := a.Prompt.InputTokens - d.cachedTokens
+		if total := transferTime + e.model.PrefillTime(uncached, a.Prompt.InputTokens); total < shortest {
 			shortest, p.uncachedTokens, p.cacheSource, p.transferTime = total, uncached, d.endpoint, transferTime
 		}
 	}
@@ -98,7 +98,7 @@
 }
 
 // evaluate returns the fastest plan for a request at the endpoint, and its cost.
-func (e *Endpoint) evaluate(now time.Time, a Ask, home bool, sources map[string]cacheSource) (plan, time.Duration) {
+func (e *Endpoint) evaluate(now time.Time, a Request, home bool, sources map[string]cacheSource) (plan, time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.fastestPlan(a, home, sources)
@@ -107,7 +107,7 @@
 
 // cost is the predicted wait for the first event, or for a plain answer, plus penalties for
 // the effects on other requests.
-func (e *Endpoint) cost(now time.Time, a Ask, home bool, p plan) time.Duration {
+func (e *Endpoint) cost(now time.Time, a Request, home bool, p plan) time.Duration {
 	active := e.activeRequests(now)
 	if a.Prompt == nil {
 		slots := max(e.beat.Slots, 1)
@@ -117,11 +117,11 @@
 		}
 		return c
 	}
-	c := scaled(e.predictFirstEvent(now, p, a.Prompt.In), e.reportedSlowdown(now))
+	c := scaled(e.predictFirstEvent(now, p, a.Prompt.InputTokens), e.reportedSlowdown(now))
 	if home {
 		c -= homeBonus
 	}
-	if e.prefillTime(now, p.uncachedTokens, a.Prompt.In) > longPrefill {
+	if e.prefillTime(now, p.uncachedTokens, a.Prompt.InputTokens) > longPrefill {
 		c += time.Duration(active) * longPrefillPenalty
 	}
 	if slots := e.beat.Slots; slots > 0 && active >= slots {
@@ -137,14 +137,14 @@
 // prefill unless it fetches them. If only some routers announce what they dispatch, the
 // home endpoint of the shared parts is assumed to have them cached: the combined requests
 // of all routers keep them in recent use.
-func (e *Endpoint) expectedUncachedTokens(a Ask, home bool) int64 {
+func (e *Endpoint) expectedUncachedTokens(a Request, home bool) int64 {
 	if a.Prompt == nil {
 		return 0
 	}
-	if home && a.Partial {
+	if home && a.PartialDispatches {
 		return a.Prompt.unsharedTokens()
 	}
-	return e.uncachedTokens(a.Prompt, a.Memory)
+	return e.uncachedTokens(a.Prompt, a.CacheTokens)
 }
 
 // prefillTime returns the predicted time for the prefill of uncached tokens of a prompt at
@@ -161,20 +161,20 @@
 }
 
 // assign records the dispatch of a request to the endpoint under a plan.
-func (e *Endpoint) assign(now time.Time, a Ask, p plan) *Work {
+func (e *Endpoint) assign(now time.Time, a Request, p plan) *Assignment {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w := &Work{endpoint: e, dispatchedAt: now}
+	w := &Assignment{endpoint: e, dispatchedAt: now}
 	e.running++
 	if a.Prompt == nil {
 		return w
 	}
-	w.promptTokens, w.cacheSource = a.Prompt.In, p.cacheSource
+	w.promptTokens, w.cacheSource = a.Prompt.InputTokens, p.cacheSource
 	w.predictedFirstEvent = e.predictFirstEvent(now, p, w.promptTokens)
-	w.dispatch = Dispatch{Unread: p.uncachedTokens, Takes: e.model.PrefillTime(p.uncachedTokens, w.promptTokens), Parts: a.Prompt.SharedIDs()}
+	w.dispatch = Dispatch{UncachedTokens: p.uncachedTokens, PrefillTime: e.model.PrefillTime(p.uncachedTokens, w.promptTokens), Parts: a.Prompt.SharedIDs()}
 	factor := e.currentPrefillFactor(now)
 	w.queuedBefore = e.queue.remaining(now, factor)
-	w.queuePosition = e.queue.addOwn(now, w.dispatch.Takes, factor)
+	w.queuePosition = e.queue.addOwn(now, w.dispatch.PrefillTime, factor)
 	e.recordPrefill(p.uncachedTokens, w.queuePosition, w.dispatch.Parts)
 	return w
 }
--- a/predictor/predictor_test.go
+++ b/predictor/predictor_test.go
@@ -21,7 +21,7 @@
 func endpoints(zone string, n int) []*predictor.Endpoint {
 	var out []*predictor.Endpoint
 	for i := range n {
-		out = append(out, predictor.NewEndpoint(enroller.Beat{Incarnation: enroller.Incarnation{ID: zone + strconv.Itoa(i)}, Service: "llm", Zone: zone, Slots: 64}))
+		out = append(out, predictor.NewEndpoint(enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: zone + strconv.Itoa(i)}, Service: "llm", Zone: zone, Slots: 64}))
 	}
 	return out
 }
@@ -34,14 +34,14 @@
 }
 
 // ask returns a request whose prompt has the given length and shared parts.
-func ask(tokens int64, parts ...predictor.Part) predictor.Ask {
+func ask(tokens int64, parts ...predictor.Part) predictor.Request {
 	parts = append(parts, predictor.Part{ID: "own", Tokens: tokens})
-	return predictor.Ask{Service: "llm", Prompt: &predictor.Prompt{In: tokens, Out: 100, Parts: parts}}
+	return predictor.Request{Service: "llm", Prompt: &predictor.Prompt{InputTokens: tokens, MaxOutputTokens: 100, Parts: parts}}
 }
 
 // remoteDispatch is a dispatch by another router whose model has the initial estimates.
 func remoteDispatch(uncached int64, parts []string) predictor.Dispatch {
-	return predictor.Dispatch{Unread: uncached, Takes: predictor.NewLatencyModel().PrefillTime(uncached, uncached), Parts: parts}
+	return predictor.Dispatch{UncachedTokens: uncached, PrefillTime: predictor.NewLatencyModel().PrefillTime(uncached, uncached), Parts: parts}
 }
 
 // Guards against requests to a rate limited endpoint beyond this router's share of the
@@ -60,7 +60,7 @@
 	for range 20 {
 		w := x.Choose(start, shared)
 		g.Expect(w.Endpoint()).To(gomega.BeIdenticalTo(list[1]))
-		g.Expect(w.Donor()).To(gomega.BeNil())
+		g.Expect(w.CacheSource()).To(gomega.BeNil())
 	}
 	limit(list[1], start.Add(time.Minute))
 	w := x.Choose(start, shared)
@@ -82,14 +82,14 @@
 	plain, repeatable := ask(800), ask(800)
 	repeatable.Repeatable = true
 	// countSent sends 20 requests and returns how many of them went to list[0].
-	countSent := func(ms int, a predictor.Ask) int {
+	countSent := func(ms int, a predictor.Request) int {
 		n := 0
 		for range 20 {
 			w := x.Choose(at(ms), a)
 			if w.Endpoint() == list[0] {
 				n++
 			}
-			w.First(at(ms))
+			w.ObserveFirstByte(at(ms))
 			w.End()
 		}
 		return n
@@ -112,8 +112,10 @@
 // endpoint is idle.
 func TestShortPromptsKeepAwayFromLongOnes(t *testing.T) {
 	for name, send := range map[string]func(*predictor.Table, *predictor.Endpoint){
-		"own":   func(t *predictor.Table, _ *predictor.Endpoint) { t.Choose(start, ask(60_000)) },
-		"other": func(t *predictor.Table, e *predictor.Endpoint) { t.Sent(start, e.Name(), remoteDispatch(60_000, nil)) },
+		"own": func(t *predictor.Table, _ *predictor.Endpoint) { t.Choose(start, ask(60_000)) },
+		"other": func(t *predictor.Table, e *predictor.Endpoint) {
+			t.RecordDispatch(start, e.Name(), remoteDispatch(60_000, nil))
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -122,8 +124,8 @@
 			send(x, list[0])
 			for range 20 {
 				w := x.Choose(start.Add(10*time.Millisecond), ask(800))
-				g.Expect(w.Predicted()).To(gomega.BeNumerically("<", 300*time.Millisecond))
-				w.First(start.Add(50 * time.Millisecond))
+				g.Expect(w.PredictedFirstEvent()).To(gomega.BeNumerically("<", 300*time.Millisecond))
+				w.ObserveFirstByte(start.Add(50 * time.Millisecond))
 				w.End()
 			}
 		})
@@ -138,7 +140,7 @@
 	x.Choose(start, ask(60_000))
 	x.Choose(start, ask(60_000))
 	late := start.Add(10 * time.Second)
-	g.Expect(x.Choose(late, ask(100)).Predicted()).To(gomega.BeNumerically(">", time.Second))
+	g.Expect(x.Choose(late, ask(100)).PredictedFirstEvent()).To(gomega.BeNumerically(">", time.Second))
 }
 
 // The first event of a prompt shows that all prompts before it have been prefilled.
@@ -147,8 +149,8 @@
 	x := table(endpoints("a", 1)...)
 	x.Choose(start, ask(60_000))
 	w := x.Choose(start, ask(60_000))
-	w.First(start.Add(20 * time.Millisecond))
-	g.Expect(x.Choose(start.Add(21*time.Millisecond), ask(100)).Predicted()).To(gomega.BeNumerically("<", 200*time.Millisecond))
+	w.ObserveFirstByte(start.Add(20 * time.Millisecond))
+	g.Expect(x.Choose(start.Add(21*time.Millisecond), ask(100)).PredictedFirstEvent()).To(gomega.BeNumerically("<", 200*time.Millisecond))
 }
 
 // Routers that have no information about each other must send requests that share a part of
@@ -173,7 +175,7 @@
 	sameZone, otherZone := endpoints("a", 1)[0], endpoints("b", 1)[0]
 	x := table(sameZone, otherZone)
 	g.Expect(x.Choose(start, ask(800)).Endpoint()).To(gomega.BeIdenticalTo(sameZone))
-	x.Sent(start, sameZone.Name(), remoteDispatch(30_000, nil))
+	x.RecordDispatch(start, sameZone.Name(), remoteDispatch(30_000, nil))
 	g.Expect(x.Choose(start, ask(800)).Endpoint()).To(gomega.BeIdenticalTo(otherZone))
 }
 
@@ -194,17 +196,17 @@
 // queue of the previous incarnation must not count for the new one.
 func TestRestartedEndpointStartsWithoutHistory(t *testing.T) {
 	g := gomega.NewWithT(t)
-	old := predictor.NewEndpoint(enroller.Beat{Incarnation: enroller.Incarnation{ID: "a0", BornMS: 1}, Service: "llm", Zone: "a", Slots: 64})
-	next := predictor.NewEndpoint(enroller.Beat{Incarnation: enroller.Incarnation{ID: "a0", BornMS: 2}, Service: "llm", Zone: "a", Slots: 64})
+	old := predictor.NewEndpoint(enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: "a0", BornMS: 1}, Service: "llm", Zone: "a", Slots: 64})
+	next := predictor.NewEndpoint(enroller.Heartbeat{Incarnation: enroller.Incarnation{ID: "a0", BornMS: 2}, Service: "llm", Zone: "a", Slots: 64})
 	x := table(old)
-	x.Sent(start, old.Name(), remoteDispatch(60_000, nil))
+	x.RecordDispatch(start, old.Name(), remoteDispatch(60_000, nil))
 	x.Replace(map[string][]*predictor.Endpoint{"llm": {next}})
-	x.Sent(start, old.Name(), remoteDispatch(60_000, nil))
+	x.RecordDispatch(start, old.Name(), remoteDispatch(60_000, nil))
 	a := ask(800)
 	a.Tried = []enroller.Incarnation{old.Beat().Incarnation}
 	w := x.Choose(start, a)
 	g.Expect(w).NotTo(gomega.BeNil(), "the previous incarnation was tried, this one was not")
-	g.Expect(w.Predicted()).To(gomega.BeNumerically("<", 200*time.Millisecond))
+	g.Expect(w.PredictedFirstEvent()).To(gomega.BeNumerically("<", 200*time.Millisecond))
 }
 
 // Guards against ignoring the dispatches of other routers. The home of a part of 13,000
@@ -222,11 +224,11 @@
 	if other == home {
 		other = list[1]
 	}
-	x.Sent(start, home.Name(), remoteDispatch(60_000, nil))
-	x.Sent(start, other.Name(), remoteDispatch(17_000, []string{"p"}))
+	x.RecordDispatch(start, home.Name(), remoteDispatch(60_000, nil))
+	x.RecordDispatch(start, other.Name(), remoteDispatch(17_000, []string{"p"}))
 	w := x.Choose(start.Add(400*time.Millisecond), ask(17_000, part))
 	g.Expect(w.Endpoint()).To(gomega.BeIdenticalTo(other))
-	g.Expect(w.Unread()).To(gomega.Equal(int64(4_000)))
+	g.Expect(w.UncachedTokens()).To(gomega.Equal(int64(4_000)))
 }
 
 // Guards against parts that count as cached after their eviction. Once an endpoint has
@@ -238,16 +240,16 @@
 	list := endpoints("a", 1)
 	x := table(list...)
 	a := ask(17_000, part)
-	a.Memory = 400_000
+	a.CacheTokens = 400_000
 	x.Choose(start, a)
 	uncached := func() int64 {
 		w := x.Choose(start.Add(time.Minute), a)
 		defer w.End()
-		return w.Unread()
+		return w.UncachedTokens()
 	}
-	x.Sent(start, list[0].Name(), remoteDispatch(150_000, []string{"q"}))
+	x.RecordDispatch(start, list[0].Name(), remoteDispatch(150_000, []string{"q"}))
 	g.Expect(uncached()).To(gomega.Equal(int64(4_000)))
-	x.Sent(start, list[0].Name(), remoteDispatch(250_000, []string{"r"}))
+	x.RecordDispatch(start, list[0].Name(), remoteDispatch(250_000, []string{"r"}))
 	g.Expect(uncached()).To(gomega.Equal(int64(17_000)))
 }
 
@@ -260,8 +262,8 @@
 	for i := range 20 {
 		now := time.Now().Add(time.Duration(i) * time.Second)
 		w := x.Choose(now, ask(10_000))
-		g.Expect(w.Predicted()).To(gomega.BeNumerically("~", 300*time.Millisecond, 200*time.Millisecond))
-		w.First(now.Add(120 * time.Millisecond))
+		g.Expect(w.PredictedFirstEvent()).To(gomega.BeNumerically("~", 300*time.Millisecond, 200*time.Millisecond))
+		w.ObserveFirstByte(now.Add(120 * time.Millisecond))
 		w.End()
 	}
 }
@@ -273,7 +275,7 @@
 func TestCachedPartsAreFetchedFromABusyEndpoint(t *testing.T) {
 	part := predictor.Part{ID: "p", Tokens: 13_000}
 	a := ask(15_000, part)
-	a.Carry = 4800 * time.Nanosecond
+	a.TransferPerToken = 4800 * time.Nanosecond
 	for name, c := range map[string]struct {
 		zone    string
 		after   time.Duration
@@ -288,16 +290,16 @@
 			g := gomega.NewWithT(t)
 			source, other := endpoints(c.zone, 2)[1], endpoints("a", 1)[0]
 			x := table(source, other)
-			x.Sent(start, source.Name(), remoteDispatch(15_000, []string{"p"}))
+			x.RecordDispatch(start, source.Name(), remoteDispatch(15_000, []string{"p"}))
 			now := start.Add(c.after)
-			x.Sent(now, source.Name(), remoteDispatch(35_000, nil))
+			x.RecordDispatch(now, source.Name(), remoteDispatch(35_000, nil))
 			w := x.Choose(now, a)
 			g.Expect(w.Endpoint()).To(gomega.BeIdenticalTo(other))
-			g.Expect(w.Donor() != nil).To(gomega.Equal(c.fetched))
-			g.Expect(w.Predicted()).To(gomega.BeNumerically("<", c.most))
+			g.Expect(w.CacheSource() != nil).To(gomega.Equal(c.fetched))
+			g.Expect(w.PredictedFirstEvent()).To(gomega.BeNumerically("<", c.most))
 			if c.fetched {
-				g.Expect(w.Donor()).To(gomega.BeIdenticalTo(source))
-				g.Expect(w.Unread()).To(gomega.Equal(int64(2_000)))
+				g.Expect(w.CacheSource()).To(gomega.BeIdenticalTo(source))
+				g.Expect(w.UncachedTokens()).To(gomega.Equal(int64(2_000)))
 			}
 		})
 	}
@@ -309,11 +311,11 @@
 	g := gomega.NewWithT(t)
 	list := endpoints("a", 1)
 	x := table(list...)
-	list[0].Keeps([]predictor.Part{{ID: "p", Tokens: 13_000}, {ID: "q", Tokens: 200}})
+	list[0].AddCachedParts([]predictor.Part{{ID: "p", Tokens: 13_000}, {ID: "q", Tokens: 200}})
 	w := x.Choose(start, ask(17_000, predictor.Part{ID: "p", Tokens: 13_000}))
-	g.Expect(w.Unread()).To(gomega.Equal(int64(4_000)))
+	g.Expect(w.UncachedTokens()).To(gomega.Equal(int64(4_000)))
 	w = x.Choose(start, ask(17_000, predictor.Part{ID: "q", Tokens: 13_000}))
-	g.Expect(w.Unread()).To(gomega.Equal(int64(17_000)))
+	g.Expect(w.UncachedTokens()).To(gomega.Equal(int64(17_000)))
 }
 
 // sendPlain sends n plain requests, one after each pause. The answer to request i takes the
@@ -321,12 +323,12 @@
 func sendPlain(x *predictor.Table, from time.Time, n int, pause time.Duration, took func(i int, zone string) time.Duration) (sameZone int) {
 	for i := range n {
 		now := from.Add(time.Duration(i) * pause)
-		w := x.Choose(now, predictor.Ask{Service: "llm"})
+		w := x.Choose(now, predictor.Request{Service: "llm"})
 		zone := w.Endpoint().Beat().Zone
 		if zone == "a" {
 			sameZone++
 		}
-		w.First(now.Add(took(i, zone)))
+		w.ObserveFirstByte(now.Add(took(i, zone)))
 		w.End()
 	}
 	return sameZone
@@ -400,13 +402,13 @@
 			for range 3 {
 				ejected.Gate().Step(0, ejector.Failed, 0.5)
 			}
-			a := predictor.Ask{Service: "llm", Repeatable: c.repeatable}
-			for a.Since = 0; a.Since < c.within; a.Since += 100 * time.Millisecond {
-				w := x.Choose(start.Add(a.Since), a)
-				w.First(start.Add(a.Since + 50*time.Millisecond))
+			a := predictor.Request{Service: "llm", Repeatable: c.repeatable}
+			for a.Elapsed = 0; a.Elapsed < c.within; a.Elapsed += 100 * time.Millisecond {
+				w := x.Choose(start.Add(a.Elapsed), a)
+				w.ObserveFirstByte(start.Add(a.Elapsed + 50*time.Millisecond))
 				w.End()
 				if w.Endpoint() == ejected {
-					ejected.Gate().Step(a.Since, ejector.Succeeded, 0)
+					ejected.Gate().Step(a.Elapsed, ejector.Succeeded, 0)
 				}
 			}
 			g.Expect(ejected.Gate().Ejected()).To(gomega.BeFalse())
@@ -419,19 +421,19 @@
 func TestSharedPartsStayInTheZonesOfARequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a := ask(50_100, predictor.Part{ID: "p", Tokens: 50_000})
-	a.Memory, a.Carry = 400_000, 100*time.Nanosecond
-	choose := func(z *localizer.Zones) (w *predictor.Work, in, out *predictor.Endpoint) {
+	a.CacheTokens, a.TransferPerToken = 400_000, 100*time.Nanosecond
+	choose := func(z *localizer.Zones) (w *predictor.Assignment, in, out *predictor.Endpoint) {
 		in, out = endpoints("a", 1)[0], endpoints("b", 1)[0]
-		out.Keeps([]predictor.Part{{ID: "p", Tokens: 50_000}})
+		out.AddCachedParts([]predictor.Part{{ID: "p", Tokens: 50_000}})
 		a.Zones = z
 		return table(in, out).Choose(start, a), in, out
 	}
 	w, _, out := choose(nil)
-	g.Expect(w.Endpoint() == out || w.Donor() == out).To(gomega.BeTrue(), "its cached parts outweigh the penalty of the other zone")
-	w, in, _ := choose(localizer.New(map[string]string{"a": "north", "b": "south"}).Within([]string{"north"}))
+	g.Expect(w.Endpoint() == out || w.CacheSource() == out).To(gomega.BeTrue(), "its cached parts outweigh the penalty of the other zone")
+	w, in, _ := choose(localizer.New(map[string]string{"a": "north", "b": "south"}).InRegions([]string{"north"}))
 	g.Expect(w.Endpoint()).To(gomega.Equal(in))
-	g.Expect(w.Donor()).To(gomega.BeNil())
-	g.Expect(w.Unread()).To(gomega.Equal(int64(50_100)))
+	g.Expect(w.CacheSource()).To(gomega.BeNil())
+	g.Expect(w.UncachedTokens()).To(gomega.Equal(int64(50_100)))
 }
 
 // Guards against a burst of prompts that all go to an endpoint that has just returned cold,
@@ -440,8 +442,8 @@
 	g := gomega.NewWithT(t)
 	cold, busy := endpoints("a", 1)[0], endpoints("b", 1)[0]
 	x := table(cold, busy)
-	busy.Sent(start, remoteDispatch(60_000, nil))
-	cold.Warmup().Set(start, start.Add(3*time.Second), warmer.Share{Rate: 2, Burst: 1}, start.Add(time.Minute))
+	busy.RecordDispatch(start, remoteDispatch(60_000, nil))
+	cold.Warmup().SetCold(start, start.Add(3*time.Second), warmer.Share{Rate: 2, Burst: 1}, start.Add(time.Minute))
 	at := map[*predictor.Endpoint]int{}
 	for i := range 100 {
 		at[x.Choose(start.Add(time.Duration(i)*10*time.Millisecond), ask(800)).Endpoint()]++
--- a/predictor/table.go
+++ b/predictor/table.go
@@ -131,14 +131,14 @@
 
 // RecordDispatch records a prompt that another router sent to the endpoint with the given
 // incarnation name.
-func (t *Table) Sent(now time.Time, name string, d Dispatch) {
+func (t *Table) RecordDispatch(now time.Time, name string, d Dispatch) {
 	if e := (*t.byName.Load())[name]; e != nil {
-		e.Sent(now, d)
+		e.RecordDispatch(now, d)
 	}
 }
 
 // Request describes a request for which an endpoint is to be chosen.
-type Ask struct {
+type Request struct {
 	Service string
 	// Zones holds the zones in which the request may be served; nil stands for all.
 	Zones *localizer.Zones
@@ -148,25 +148,25 @@
 	// was sent there already.
 	Tried []enroller.Incarnation
 	// CacheTokens is the cache size of the service's endpoints in tokens; 0 if unknown.
-	Memory int64
+	CacheTokens int64
 	// TransferPerToken is the time to transfer one cached token between two endpoints of a
 	// zone; 0 if they can't transfer any.
-	Carry time.Duration
+	TransferPerToken time.Duration
 	// PartialDispatches is set if only some of the other routers tell this one about their
 	// dispatches.
-	Partial bool
+	PartialDispatches bool
 	// Repeatable is set if the request may be sent to another endpoint when this attempt
 	// fails.
 	Repeatable bool
 	// Elapsed is the time since a fixed instant, on the clock of the endpoints' failure
 	// gates.
-	Since time.Duration
+	Elapsed time.Duration
 }
 
 // Choose assigns a request to the endpoint with the lowest cost, which is mostly the
 // predicted wait. It returns nil if no endpoint is available. The caller must end the
 // assignment.
-func (t *Table) Choose(now time.Time, a Ask) *Work {
+func (t *Table) Choose(now time.Time, a Request) *Assignment {
 	g := (*t.byService.Load())[a.Service]
 	if g == nil {
 		return nil
@@ -196,7 +196,7 @@
 
 // RetryAfter returns the shortest time until an endpoint accepts a request for which Choose
 // found none. It returns 0 if an endpoint accepts other requests or if the time is unknown.
-func (t *Table) RetryAfter(now time.Time, a Ask) time.Duration {
+func (t *Table) RetryAfter(now time.Time, a Request) time.Duration {
 	g := (*t.byService.Load())[a.Service]
 	if g == nil {
 		return 0
@@ -217,11 +217,11 @@
 
 // cheapest returns the plan with the lowest cost among candidates. If blocked is set,
 // endpoints that are blocked after failures are included.
-func (t *Table) cheapest(now time.Time, a Ask, g *group, candidates []*Endpoint, home *Endpoint, blocked bool) (best plan, ok bool) {
+func (t *Table) cheapest(now time.Time, a Request, g *group, candidates []*Endpoint, home *Endpoint, blocked bool) (best plan, ok bool) {
 	var least time.Duration
 	sources := findCacheSources(now, a, candidates, home)
 	for _, e := range candidates {
-		if !blocked && e.gate.Blocked(a.Since) || e.excluded.Load() || !e.warmup.Open(now) || slices.Contains(a.Tried, e.beat.Incarnation) {
+		if !blocked && e.gate.Blocked(a.Elapsed) || e.excluded.Load() || !e.warmup.Open(now) || slices.Contains(a.Tried, e.beat.Incarnation) {
 			continue
 		}
 		p, c := e.evaluate(now, a, e == home, sources)
@@ -231,7 +231,7 @@
 		if e.beat.Zone != t.zone {
 			c += crossZoneCost(a.Prompt)
 		}
-		c += probeCost(max(e.gate.ProbeDue(a.Since), e.warmup.ProbeDue(now)), a.Repeatable)
+		c += probeCost(max(e.gate.ProbeDue(a.Elapsed), e.warmup.ProbeDue(now)), a.Repeatable)
 		// Random noise keeps routers with the same information from choosing the same
 		// endpoint at the same moment.
 		c += time.Duration(rand.Int64N(int64(2 * time.Millisecond)))
--- a/publisher/compress.go
+++ b/publisher/compress.go
@@ -17,7 +17,7 @@
 
 // Compress compresses a document for storage and transfer: keepers store many documents,
 // and 400 kB take a third of a second on a router's link of 10 Mbit/s.
-func Pack(content []byte) ([]byte, error) {
+func Compress(content []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, compressionLevel)
 	if err != nil {
@@ -33,7 +33,7 @@
 }
 
 // Decompress returns the document that was passed to Compress.
-func Unpack(packed []byte) ([]byte, error) {
+func Decompress(packed []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(packed))
 	b, err := io.ReadAll(io.LimitReader(r, maxDecompressedBytes))
 	if err != nil {
--- a/publisher/index.go
+++ b/publisher/index.go
@@ -52,20 +52,20 @@
 func (x *Index) resolveZones(l *localizer.Localizer) {
 	for i := range x.document.Routes {
 		r := &x.document.Routes[i]
-		if z := l.Within(r.Regions); z != nil {
+		if z := l.InRegions(r.Regions); z != nil {
 			x.routeZones[r] = z
 		}
 	}
 	for i := range x.document.Workspaces {
 		w := &x.document.Workspaces[i]
-		if z := l.Within(w.Regions); z != nil {
+		if z := l.InRegions(w.Regions); z != nil {
 			x.workspaceZones[w] = z
 		}
 	}
 	for _, a := range x.routeZones {
 		for _, b := range x.workspaceZones {
 			if k := [2]string{a.Key(), b.Key()}; x.intersections[k] == nil {
-				x.intersections[k] = a.And(b)
+				x.intersections[k] = a.Intersect(b)
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 // Route returns the route with the longest prefix of the path, or nil. It looks up the
 // path truncated after each of its slashes, the last one first.
 func (x *Index) Route(host, path string) *Route {
-	host = Host(host)
+	host = NormalizeHost(host)
 	for i := strings.LastIndexByte(path, '/'); i >= 0; i = strings.LastIndexByte(path[:i], '/') {
 		if r := x.routes[routeKey{host, path[:i+1]}]; r != nil {
 			return r
@@ -109,7 +109,7 @@
 func (x *Index) Workspace(key string) *Workspace { return x.workspaces[key] }
 
 // NormalizeHost returns a host in the form that routes use: in lower case, without a port.
-func Host(host string) string {
+func NormalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -20,7 +20,7 @@
 	// Idempotent requests may run any number of times.
 	Idempotent RouteKind = iota
 	// AtMostOnce requests may run once at most.
-	Once
+	AtMostOnce
 	// Stream requests are answered by a series of events. They may run once at most unless
 	// the stream can be resumed.
 	Stream
@@ -44,9 +44,9 @@
 	// Timeout bounds how long a caller waits for the answer.
 	Timeout time.Duration
 	// LatencyObjective is the latency within which an answer has its full value.
-	Objective time.Duration
+	LatencyObjective time.Duration
 	// MaxEventGap is the longest time between two events of a stream that is on time.
-	Pause time.Duration
+	MaxEventGap time.Duration
 	// Priority ranks the route; 0 is the highest priority.
 	Priority int
 	Shares   []Share
@@ -56,7 +56,7 @@
 	Public bool
 	// PrefixAffinity is set if requests carry prompts whose prefixes endpoints may have
 	// cached.
-	Affine bool
+	PrefixAffinity bool
 	// Resumable streams may continue at another endpoint.
 	Resumable bool
 	// Regions are the only regions in which requests may be served; empty for any.
@@ -77,7 +77,7 @@
 	// tokens.
 	MemoryTokens int64
 	// MaxTokensPerEvent bounds the tokens in one event of a stream.
-	Stride int64
+	MaxTokensPerEvent int64
 	// TokenBytes is the memory of one token in bytes, and LinkRate the speed at which
 	// engines transfer it to each other, in bytes per second; 0 if they do not.
 	TokenBytes, LinkRate float64
@@ -85,7 +85,7 @@
 
 // TransferTimePerToken returns how long the transfer of one token's memory between engines
 // of a zone takes; 0 if engines do not transfer memory.
-func (e *Engine) Carry() time.Duration {
+func (e *Engine) TransferTimePerToken() time.Duration {
 	if e.TokenBytes <= 0 || e.LinkRate <= 0 {
 		return 0
 	}
@@ -99,16 +99,16 @@
 	// Connections bounds the connections to one endpoint from all routers together.
 	Connections int
 	// Engine is nil for plain services.
-	Engine *Engine
-	Cold   Cold
+	Engine    *Engine
+	ColdStart ColdStart
 }
 
 // ColdStart describes the load that endpoints of a service tolerate after their start.
-type Cold struct {
+type ColdStart struct {
 	// Duration is how long an endpoint is cold.
 	Duration time.Duration
 	// MaxRequestsPerSecond is the rate that a cold endpoint tolerates; 0 for any rate.
-	PerSecond float64
+	MaxRequestsPerSecond float64
 }
 
 // Workspace is a customer account with its keys and its prepaid tokens.
@@ -140,8 +140,8 @@
 	Workspaces []Workspace
 	// RequiresKeys is set if the document defines workspaces at all: without them no
 	// request needs a key.
-	Keyed  bool
-	Limits Limits
+	RequiresKeys bool
+	Limits       Limits
 }
 
 // Check returns ErrInvalid with the first fault found.
--- a/quarantiner/answered_requests.go
+++ b/quarantiner/answered_requests.go
@@ -8,12 +8,12 @@
 // request has survived it, so the request does not crash endpoints, even if several crash at once
 // while it is in progress. That happens when a rack with all replicas of a service fails while all
 // callers request the same page. It is not safe for concurrent use.
-type Recent struct {
+type AnsweredRequests struct {
 	current, previous map[Fingerprint]bool
 }
 
 // Add records an answered request.
-func (r *Recent) Add(f Fingerprint) {
+func (r *AnsweredRequests) Add(f Fingerprint) {
 	if r.current == nil || len(r.current) >= maxGenerationSize {
 		r.current, r.previous = map[Fingerprint]bool{}, r.current
 	}
@@ -21,4 +21,4 @@
 }
 
 // Has reports whether the request is among the last few thousand that were answered.
-func (r *Recent) Has(f Fingerprint) bool { return r.current[f] || r.previous[f] }
+func (r *AnsweredRequests) Has(f Fingerprint) bool { return r.current[f] || r.previous[f] }
--- a/quarantiner/crash_tracker.go
+++ b/quarantiner/crash_tracker.go
@@ -33,7 +33,7 @@
 	// At is when the connection broke, converted to the local clock.
 	At time.Time
 	// Elapsed is how long before the crash the request was sent to the endpoint.
-	Underway time.Duration
+	Elapsed time.Duration
 }
 
 // suspect is a request that was in progress at endpoints that crashed.
@@ -57,7 +57,7 @@
 // retried as well, so some of them are in progress at as many crashes as the cause. Each crash is
 // therefore attributed to at most one request: crashes during a quarantined request do not count
 // against others. It is not safe for concurrent use.
-type Register struct {
+type CrashTracker struct {
 	// Retention is how long a crash counts.
 	retention time.Duration
 	suspects  map[Fingerprint]*suspect
@@ -68,15 +68,15 @@
 }
 
 // NewCrashTracker returns a tracker that forgets crashes after the retention.
-func NewRegister(retention time.Duration) *Register {
-	return &Register{
+func NewCrashTracker(retention time.Duration) *CrashTracker {
+	return &CrashTracker{
 		retention: retention, suspects: map[Fingerprint]*suspect{}, endpoints: map[enroller.Incarnation]*endpointCrash{},
 		quarantined: map[Fingerprint]bool{},
 	}
 }
 
 // Add records a crash and reports whether it is new.
-func (r *Register) Hear(now time.Time, c Crash) bool {
+func (r *CrashTracker) Add(now time.Time, c Crash) bool {
 	r.expire(now)
 	s := r.suspects[c.Request]
 	if s == nil {
@@ -87,7 +87,7 @@
 		return false
 	}
 	s.endpoints[c.Endpoint] = true
-	s.totalElapsed += c.Underway
+	s.totalElapsed += c.Elapsed
 	e := r.endpoints[c.Endpoint]
 	if e == nil {
 		e = &endpointCrash{firstReportedAt: now, at: c.At}
@@ -105,7 +105,7 @@
 }
 
 // SetQuarantined replaces the set of quarantined requests.
-func (r *Register) Hold(requests []Fingerprint) {
+func (r *CrashTracker) SetQuarantined(requests []Fingerprint) {
 	r.quarantined = map[Fingerprint]bool{}
 	for _, f := range requests {
 		r.quarantined[f] = true
@@ -113,11 +113,11 @@
 }
 
 // IsSuspect reports whether endpoints crashed during a request.
-func (r *Register) Suspects(f Fingerprint) bool { return r.suspects[f] != nil }
+func (r *CrashTracker) IsSuspect(f Fingerprint) bool { return r.suspects[f] != nil }
 
 // Clear forgets the crashes during a request that an endpoint has answered.
-func (r *Register) Clear(f Fingerprint) {
-	if !r.Suspects(f) {
+func (r *CrashTracker) Clear(f Fingerprint) {
+	if !r.IsSuspect(f) {
 		return
 	}
 	kept := r.crashes[:0]
@@ -134,7 +134,7 @@
 // ToQuarantine returns the requests to quarantine from now on. Of several requests with the same
 // number of crashes, it chooses the one that had run for the shortest time: a request that crashes
 // its endpoint does so when it starts, while the others there had run for longer.
-func (r *Register) Due(now time.Time) []Fingerprint {
+func (r *CrashTracker) ToQuarantine(now time.Time) []Fingerprint {
 	r.expire(now)
 	var out []Fingerprint
 	isQuarantined := func(f Fingerprint) bool { return r.quarantined[f] || slices.Contains(out, f) }
@@ -162,7 +162,7 @@
 
 // attributedCrashes counts the crashes during a request that are older than settleTime and that
 // neither a quarantined request nor an external cause explains.
-func (r *Register) attributedCrashes(now time.Time, f Fingerprint, isQuarantined func(Fingerprint) bool) int {
+func (r *CrashTracker) attributedCrashes(now time.Time, f Fingerprint, isQuarantined func(Fingerprint) bool) int {
 	n := 0
 	for i := range r.suspects[f].endpoints {
 		e := r.endpoints[i]
@@ -175,7 +175,7 @@
 
 // hasExternalCause reports whether at least minCorrelated endpoints where neither the request nor a
 // quarantined one was in progress crashed at about the same time as endpoint e, where it was.
-func (r *Register) hasExternalCause(f Fingerprint, e *endpointCrash, isQuarantined func(Fingerprint) bool) bool {
+func (r *CrashTracker) hasExternalCause(f Fingerprint, e *endpointCrash, isQuarantined func(Fingerprint) bool) bool {
 	others := 0
 	for _, x := range r.endpoints {
 		if x.at.Sub(e.at).Abs() <= correlationWindow && !slices.Contains(x.requests, f) && !slices.ContainsFunc(x.requests, isQuarantined) {
@@ -187,7 +187,7 @@
 
 // moreSuspicious reports whether a is a more likely cause than b, if both have the same number of
 // crashes: a had run for a shorter time before them on average.
-func (r *Register) moreSuspicious(a, b Fingerprint) bool {
+func (r *CrashTracker) moreSuspicious(a, b Fingerprint) bool {
 	x, y := r.suspects[a], r.suspects[b]
 	return cmp.Or(
 		cmp.Compare(x.totalElapsed*time.Duration(len(y.endpoints)), y.totalElapsed*time.Duration(len(x.endpoints))),
@@ -196,7 +196,7 @@
 }
 
 // expire removes crashes that were first reported longer ago than the retention.
-func (r *Register) expire(now time.Time) {
+func (r *CrashTracker) expire(now time.Time) {
 	for len(r.crashes) > 0 {
 		c := r.crashes[0]
 		if now.Sub(r.endpoints[c.Endpoint].firstReportedAt) < r.retention {
@@ -206,16 +206,16 @@
 	}
 }
 
-func (r *Register) removeOldest() {
+func (r *CrashTracker) removeOldest() {
 	r.remove(r.crashes[0])
 	r.crashes = r.crashes[1:]
 }
 
 // remove removes a crash from the suspects and the endpoints.
-func (r *Register) remove(c Crash) {
+func (r *CrashTracker) remove(c Crash) {
 	s := r.suspects[c.Request]
 	delete(s.endpoints, c.Endpoint)
-	s.totalElapsed -= c.Underway
+	s.totalElapsed -= c.Elapsed
 	if len(s.endpoints) == 0 {
 		delete(r.suspects, c.Request)
 	}
--- a/quarantiner/crash_tracker_test.go
+++ b/quarantiner/crash_tracker_test.go
@@ -23,25 +23,25 @@
 func endpoint(n int) enroller.Incarnation { return enroller.Incarnation{ID: fmt.Sprint("e", n)} }
 
 // crashes reports that an endpoint crashed during requests, the most recently sent first.
-func crashes(r *quarantiner.Register, now time.Time, e int, requests ...uint64) {
+func crashes(r *quarantiner.CrashTracker, now time.Time, e int, requests ...uint64) {
 	for i, f := range requests {
-		r.Hear(now, quarantiner.Crash{Request: fingerprint(f), Endpoint: endpoint(e), At: now, Underway: time.Duration(1+i) * 100 * time.Millisecond})
+		r.Add(now, quarantiner.Crash{Request: fingerprint(f), Endpoint: endpoint(e), At: now, Elapsed: time.Duration(1+i) * 100 * time.Millisecond})
 	}
 }
 
 func TestRequestIsQuarantinedAfterThirdCrash(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := quarantiner.NewRegister(time.Hour)
+	r := quarantiner.NewCrashTracker(time.Hour)
 	crashes(r, at(0), 1, 7, 8)
 	crashes(r, at(1), 2, 7, 9)
-	g.Expect(r.Due(at(100))).To(gomega.BeEmpty(), "two crashes")
+	g.Expect(r.ToQuarantine(at(100))).To(gomega.BeEmpty(), "two crashes")
 	crashes(r, at(100), 2, 7)
-	g.Expect(r.Due(at(110))).To(gomega.BeEmpty(), "a crash that is reported twice counts once")
+	g.Expect(r.ToQuarantine(at(110))).To(gomega.BeEmpty(), "a crash that is reported twice counts once")
 	crashes(r, at(110), 3, 7, 10)
-	g.Expect(r.Due(at(110.1))).To(gomega.BeEmpty(), "other requests may still be reported for that crash")
-	g.Expect(r.Due(at(110.9))).To(gomega.Equal([]quarantiner.Fingerprint{fingerprint(7)}))
-	r.Hold([]quarantiner.Fingerprint{fingerprint(7)})
-	g.Expect(r.Due(at(111))).To(gomega.BeEmpty())
+	g.Expect(r.ToQuarantine(at(110.1))).To(gomega.BeEmpty(), "other requests may still be reported for that crash")
+	g.Expect(r.ToQuarantine(at(110.9))).To(gomega.Equal([]quarantiner.Fingerprint{fingerprint(7)}))
+	r.SetQuarantined([]quarantiner.Fingerprint{fingerprint(7)})
+	g.Expect(r.ToQuarantine(at(111))).To(gomega.BeEmpty())
 }
 
 // Guards against quarantining a harmless request. It runs next to the cause of a crash, is retried
@@ -49,21 +49,21 @@
 // requests in progress causes this.
 func TestRequestRetriedNextToTheCauseIsNotQuarantined(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := quarantiner.NewRegister(time.Hour)
+	r := quarantiner.NewCrashTracker(time.Hour)
 	for e := 1; e <= 3; e++ {
 		// The harmless request is reported first.
-		r.Hear(at(float64(e)), quarantiner.Crash{Request: fingerprint(1), Endpoint: endpoint(e), At: at(float64(e)), Underway: time.Second})
+		r.Add(at(float64(e)), quarantiner.Crash{Request: fingerprint(1), Endpoint: endpoint(e), At: at(float64(e)), Elapsed: time.Second})
 		crashes(r, at(float64(e)+0.1), e, 7)
 	}
-	g.Expect(r.Due(at(5))).To(gomega.Equal([]quarantiner.Fingerprint{fingerprint(7)}))
-	r.Hold([]quarantiner.Fingerprint{fingerprint(7)})
+	g.Expect(r.ToQuarantine(at(5))).To(gomega.Equal([]quarantiner.Fingerprint{fingerprint(7)}))
+	r.SetQuarantined([]quarantiner.Fingerprint{fingerprint(7)})
 	crashes(r, at(6), 4, 7, 1)
-	g.Expect(r.Due(at(10))).To(gomega.BeEmpty(), "requests sent before the quarantine")
+	g.Expect(r.ToQuarantine(at(10))).To(gomega.BeEmpty(), "requests sent before the quarantine")
 	crashes(r, at(11), 5, 1)
 	crashes(r, at(12), 6, 1)
-	g.Expect(r.Due(at(20))).To(gomega.BeEmpty())
+	g.Expect(r.ToQuarantine(at(20))).To(gomega.BeEmpty())
 	crashes(r, at(21), 7, 1)
-	g.Expect(r.Due(at(30))).To(gomega.Equal([]quarantiner.Fingerprint{fingerprint(1)}), "three crashes of its own")
+	g.Expect(r.ToQuarantine(at(30))).To(gomega.Equal([]quarantiner.Fingerprint{fingerprint(1)}), "three crashes of its own")
 }
 
 // Guards against quarantining a harmless request, so that the cause crashes three more endpoints.
@@ -72,40 +72,40 @@
 // causes this.
 func TestLateReportOfTheCause(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := quarantiner.NewRegister(time.Hour)
+	r := quarantiner.NewCrashTracker(time.Hour)
 	for e := 1; e <= 3; e++ {
-		r.Hear(at(float64(e)), quarantiner.Crash{Request: fingerprint(1), Endpoint: endpoint(e), At: at(float64(e)), Underway: time.Second})
+		r.Add(at(float64(e)), quarantiner.Crash{Request: fingerprint(1), Endpoint: endpoint(e), At: at(float64(e)), Elapsed: time.Second})
 		crashes(r, at(float64(e)+0.6), e, 7)
 	}
 	for _, s := range []float64{3.1, 3.4, 3.7} {
-		g.Expect(r.Due(at(s))).To(gomega.BeEmpty())
+		g.Expect(r.ToQuarantine(at(s))).To(gomega.BeEmpty())
 	}
-	g.Expect(r.Due(at(3.9))).To(gomega.Equal([]quarantiner.Fingerprint{fingerprint(7)}))
+	g.Expect(r.ToQuarantine(at(3.9))).To(gomega.Equal([]quarantiner.Fingerprint{fingerprint(7)}))
 }
 
 func TestTwoCrashingRequestsAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := quarantiner.NewRegister(time.Hour)
+	r := quarantiner.NewCrashTracker(time.Hour)
 	for e := 1; e <= 6; e++ {
 		crashes(r, at(float64(e)), e, 7+uint64(e%2), 100+uint64(e))
 	}
-	g.Expect(r.Due(at(10))).To(gomega.ConsistOf(fingerprint(7), fingerprint(8)))
+	g.Expect(r.ToQuarantine(at(10))).To(gomega.ConsistOf(fingerprint(7), fingerprint(8)))
 }
 
 func TestCrashesAreForgotten(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := quarantiner.NewRegister(time.Minute)
+	r := quarantiner.NewCrashTracker(time.Minute)
 	crashes(r, at(0), 1, 7)
 	crashes(r, at(50), 2, 7)
 	crashes(r, at(61), 3, 7)
-	g.Expect(r.Due(at(62))).To(gomega.BeEmpty())
+	g.Expect(r.ToQuarantine(at(62))).To(gomega.BeEmpty())
 	crashes(r, at(63), 4, 7)
-	g.Expect(r.Due(at(64))).To(gomega.Equal([]quarantiner.Fingerprint{fingerprint(7)}))
+	g.Expect(r.ToQuarantine(at(64))).To(gomega.Equal([]quarantiner.Fingerprint{fingerprint(7)}))
 	// Many new crashes evict the oldest, and leave no partial state behind.
 	for e := range 20_000 {
 		crashes(r, at(65), 10+e, 1_000+uint64(e))
 	}
-	g.Expect(r.Due(at(70))).To(gomega.BeEmpty())
+	g.Expect(r.ToQuarantine(at(70))).To(gomega.BeEmpty())
 }
 
 // Twelve engines run eighteen streams each. Every interrupted stream is retried up to three times.
@@ -114,7 +114,7 @@
 func TestOnlyTheCrashingRequestIsQuarantined(t *testing.T) {
 	for seed := range uint64(200) {
 		g := gomega.NewWithT(t)
-		r := quarantiner.NewRegister(time.Hour)
+		r := quarantiner.NewCrashTracker(time.Hour)
 		rng := rand.New(rand.NewPCG(seed, 26))
 		var retried []uint64
 		var thirdCrashAt, quarantinedAt time.Time
@@ -139,13 +139,13 @@
 				if i > 0 {
 					ran = time.Duration(rng.IntN(3000)) * time.Millisecond
 				}
-				r.Hear(now.Add(time.Duration(rng.IntN(300))*time.Millisecond), quarantiner.Crash{Request: fingerprint(f), Endpoint: endpoint(n), At: now, Underway: ran})
+				r.Add(now.Add(time.Duration(rng.IntN(300))*time.Millisecond), quarantiner.Crash{Request: fingerprint(f), Endpoint: endpoint(n), At: now, Elapsed: ran})
 			}
 			retried = beside
 			// Crashes are reported within 0.3 s, and keepers check as often.
-			if due := r.Due(now.Add(390 * time.Millisecond)); len(due) > 0 {
+			if due := r.ToQuarantine(now.Add(390 * time.Millisecond)); len(due) > 0 {
 				g.Expect(due).To(gomega.Equal([]quarantiner.Fingerprint{fingerprint(crashing)}), "seed %d", seed)
-				r.Hold(due)
+				r.SetQuarantined(due)
 				quarantinedAt = now
 			}
 		}
@@ -161,7 +161,7 @@
 // crashes engines.
 func TestSimultaneousCrashesOfManyEndpointsQuarantineNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := quarantiner.NewRegister(time.Hour)
+	r := quarantiner.NewCrashTracker(time.Hour)
 	n := 0
 	for wave := range 4 {
 		for e := range 7 {
@@ -173,19 +173,19 @@
 			crashes(r, at(4*float64(wave)+0.01*float64(e)), n, requests...)
 		}
 	}
-	g.Expect(r.Due(at(100))).To(gomega.BeEmpty())
+	g.Expect(r.ToQuarantine(at(100))).To(gomega.BeEmpty())
 	// A request that crashes engines is still found in between, even if callers send it to three
 	// at once.
 	for range 3 {
 		n++
 		crashes(r, at(110), n, 7, uint64(1_000+n))
 	}
-	g.Expect(r.Due(at(112))).To(gomega.Equal([]quarantiner.Fingerprint{fingerprint(7)}))
+	g.Expect(r.ToQuarantine(at(112))).To(gomega.Equal([]quarantiner.Fingerprint{fingerprint(7)}))
 }
 
 func TestAnsweredRequestsAreRemembered(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var r quarantiner.Recent
+	var r quarantiner.AnsweredRequests
 	g.Expect(r.Has(fingerprint(1))).To(gomega.BeFalse())
 	for n := range uint64(5_000) {
 		r.Add(fingerprint(n))
--- a/rattanhoist.go
+++ b/rattanhoist.go
@@ -22,9 +22,9 @@
 	ErrNoEndpoint = merry.Sentinel("no endpoint may serve the request")
 	// ErrBudgetSpent is returned if the prepaid budget is used up.
 	ErrBudgetSpent = merry.Sentinel("prepaid budget is spent")
-	// ErrBudgetOutOfReach is returned if spending rights remain but can't be
+	// ErrBudgetUnavailable is returned if spending rights remain but can't be
 	// obtained now.
-	ErrBudgetOutOfReach = merry.Sentinel("remaining budget is out of reach")
+	ErrBudgetUnavailable = merry.Sentinel("remaining budget is out of reach")
 )
 
 // Tokens is an amount of budget tokens. It is never negative in a valid ledger.
--- a/replicator/core_test.go
+++ b/replicator/core_test.go
@@ -179,7 +179,7 @@
 		p.flow()
 	}
 	l := p.leaderName()
-	if !p.nodes["d"].core.Voter() || len(p.nodes[l].core.CommittedVoters()) != 3 {
+	if !p.nodes["d"].core.IsVoter() || len(p.nodes[l].core.CommittedVoters()) != 3 {
 		t.Fatalf("the spare does not vote: %v", p.nodes[l].core.CommittedVoters())
 	}
 	term := p.nodes[l].core.Term()
@@ -188,8 +188,8 @@
 		p.flow()
 	}
 	c := p.nodes[lost].core
-	if c.Voter() || c.Commit() != p.nodes[l].core.Commit() || p.nodes[l].core.Term() != term {
-		t.Fatalf("the replaced keeper: votes %v, commit %d of %d, term %d became %d", c.Voter(), c.Commit(), p.nodes[l].core.Commit(), term, p.nodes[l].core.Term())
+	if c.IsVoter() || c.Commit() != p.nodes[l].core.Commit() || p.nodes[l].core.Term() != term {
+		t.Fatalf("the replaced keeper: votes %v, commit %d of %d, term %d became %d", c.IsVoter(), c.Commit(), p.nodes[l].core.Commit(), term, p.nodes[l].core.Term())
 	}
 }
 
@@ -291,8 +291,8 @@
 		p.flow()
 	}
 	l, c := p.nodes[p.leaderName()].core, p.nodes[lost].core
-	if c.Voter() || c.Commit() != l.Commit() {
-		t.Fatalf("the replaced keeper: votes %v, commit %d of %d", c.Voter(), c.Commit(), l.Commit())
+	if c.IsVoter() || c.Commit() != l.Commit() {
+		t.Fatalf("the replaced keeper: votes %v, commit %d of %d", c.IsVoter(), c.Commit(), l.Commit())
 	}
 }
 
@@ -338,7 +338,7 @@
 // and request votes before the others are listening. The cause is a lost vote
 // request that is not repeated before the next election.
 func TestLostQuestionForVotesIsAskedAgain(t *testing.T) {
-	timing := replicator.Timing{Heartbeat: 100 * time.Millisecond, Election: 600 * time.Millisecond, Replace: 6 * time.Second}
+	timing := replicator.Timing{HeartbeatInterval: 100 * time.Millisecond, ElectionTimeout: 600 * time.Millisecond, Replace: 6 * time.Second}
 	const deaf, step = 400 * time.Millisecond, 20 * time.Millisecond
 	p := newPoolOf(t, 5, 5, timing)
 	p.settle()
--- a/replicator/election.go
+++ b/replicator/election.go
@@ -14,14 +14,14 @@
 	if c.role == Leader {
 		return true
 	}
-	return c.leader != Member{} && c.now.Sub(c.leaderHeardAt) < c.options.Timing.Election
+	return c.leader != Member{} && c.now.Sub(c.leaderHeardAt) < c.options.Timing.ElectionTimeout
 }
 
 // startPreVote asks the voters whether they would vote for this keeper,
 // without a new term. A keeper that returns from a network partition must not
 // raise the term of the others.
 func (c *Core) startPreVote() {
-	c.role = Trial
+	c.role = PreCandidate
 	c.leader = Member{}
 	c.resetElectionTimer()
 	c.votes = map[Member]bool{c.self: true}
@@ -56,7 +56,7 @@
 		return
 	}
 	switch c.role {
-	case Trial:
+	case PreCandidate:
 		c.requestVotes(true, c.term+1)
 	case Candidate:
 		c.requestVotes(false, c.term)
@@ -66,7 +66,7 @@
 // resetVoteRetryTimer sets a random wait before the next vote requests,
 // because keepers that ask at the same moment split the votes.
 func (c *Core) resetVoteRetryTimer() {
-	h := c.options.Timing.Heartbeat
+	h := c.options.Timing.HeartbeatInterval
 	c.voteRetryAt = c.now.Add(h/2 + time.Duration(c.options.Rand.Int64N(int64(h))))
 }
 
@@ -124,7 +124,7 @@
 		return
 	}
 	switch {
-	case r.Trial && c.role == Trial && term == c.term+1:
+	case r.Trial && c.role == PreCandidate && term == c.term+1:
 		c.votes[from] = true
 		if c.hasVoteMajority() {
 			c.startElection()
--- a/replicator/event.go
+++ b/replicator/event.go
@@ -46,20 +46,20 @@
 type Send struct{ Message *messenger.LogMessage }
 
 // ProposalCommitted reports that a proposed change was committed and applied.
-type Answered struct {
+type ProposalCommitted struct {
 	Ticket Ticket
 	Result any
 }
 
 // ReadConfirmed reports that a majority confirmed the leader after the read
 // was requested.
-type Confirmed struct {
+type ReadConfirmed struct {
 	Ticket Ticket
 	Index  uint64
 }
 
 // OutcomeUnknown reports that the outcome of a request is not known here.
-type Lost struct{ Ticket Ticket }
+type OutcomeUnknown struct{ Ticket Ticket }
 
 // Rejected reports that a request had no effect because this core is not a
 // leader that can serve it.
@@ -69,13 +69,13 @@
 // guarantees of the log.
 type Halt struct{ Err error }
 
-func (Write) isAction()     {}
-func (Send) isAction()      {}
-func (Answered) isAction()  {}
-func (Confirmed) isAction() {}
-func (Lost) isAction()      {}
-func (Rejected) isAction()  {}
-func (Halt) isAction()      {}
+func (Write) isAction()             {}
+func (Send) isAction()              {}
+func (ProposalCommitted) isAction() {}
+func (ReadConfirmed) isAction()     {}
+func (OutcomeUnknown) isAction()    {}
+func (Rejected) isAction()          {}
+func (Halt) isAction()              {}
 
 func (m Member) proto() *messenger.LogMember {
 	return &messenger.LogMember{Name: m.Name, Incarnation: m.Incarnation}
--- a/replicator/follower.go
+++ b/replicator/follower.go
@@ -138,10 +138,10 @@
 		result := c.options.Machine.Apply(e.Data)
 		if t, ok := c.leaderState.proposals[e.Index]; ok && c.role == Leader {
 			delete(c.leaderState.proposals, e.Index)
-			c.actions = append(c.actions, Answered{Ticket: t, Result: result})
+			c.actions = append(c.actions, ProposalCommitted{Ticket: t, Result: result})
 		}
 	case messenger.LogEntryKind_LOG_ENTRY_KIND_MEMBERSHIP:
-		if c.role == Leader && !c.Voter() {
+		if c.role == Leader && !c.IsVoter() {
 			c.becomeFollower(c.term, Member{})
 		}
 	}
--- a/replicator/fuzz_test.go
+++ b/replicator/fuzz_test.go
@@ -256,7 +256,7 @@
 			r := c.NewRestorer()
 			for _, b := range replicator.Buckets {
 				for k, v := range n.disk[b] {
-					r.Row(b, k, v)
+					r.AddRow(b, k, v)
 				}
 			}
 			if _, err := r.Start(n.now); err == nil {
--- a/replicator/leader.go
+++ b/replicator/leader.go
@@ -79,10 +79,10 @@
 // The next leader decides whether the proposals are committed.
 func (c *Core) abandonPending() {
 	for _, i := range slices.Sorted(maps.Keys(c.leaderState.proposals)) {
-		c.actions = append(c.actions, Lost{Ticket: c.leaderState.proposals[i]})
+		c.actions = append(c.actions, OutcomeUnknown{Ticket: c.leaderState.proposals[i]})
 	}
 	for _, r := range c.leaderState.reads {
-		c.actions = append(c.actions, Lost{Ticket: r.ticket})
+		c.actions = append(c.actions, OutcomeUnknown{Ticket: r.ticket})
 	}
 	c.confirmedAt = c.leaderState.confirmedAt
 	c.leaderState = leaderState{}
@@ -91,7 +91,7 @@
 // checkQuorum steps down a leader that has lost its majority. A leader that
 // was partitioned or frozen must stop before it accepts or confirms anything.
 func (c *Core) checkQuorum() {
-	if c.role == Leader && c.now.Sub(c.leaderState.confirmedAt) > c.options.Timing.Election {
+	if c.role == Leader && c.now.Sub(c.leaderState.confirmedAt) > c.options.Timing.ElectionTimeout {
 		c.becomeFollower(c.term, Member{})
 	}
 }
@@ -125,7 +125,7 @@
 }
 
 func (c *Core) tickLeader() {
-	if c.now.Sub(c.leaderState.heartbeatAt) < c.options.Timing.Heartbeat {
+	if c.now.Sub(c.leaderState.heartbeatAt) < c.options.Timing.HeartbeatInterval {
 		return
 	}
 	for m, p := range c.leaderState.progress {
@@ -205,7 +205,7 @@
 // sendSnapshot sends the snapshot, but at most once per election timeout,
 // because it may be large and take time to be acknowledged.
 func (c *Core) sendSnapshot(m Member, p *progress) {
-	if c.now.Sub(p.snapshotSentAt) < c.options.Timing.Election && !p.snapshotSentAt.IsZero() {
+	if c.now.Sub(p.snapshotSentAt) < c.options.Timing.ElectionTimeout && !p.snapshotSentAt.IsZero() {
 		return
 	}
 	p.snapshotSentAt = c.now
@@ -290,7 +290,7 @@
 			rest = append(rest, r)
 			continue
 		}
-		c.actions = append(c.actions, Confirmed{Ticket: r.ticket, Index: max(r.index, c.leaderState.firstIndex)})
+		c.actions = append(c.actions, ReadConfirmed{Ticket: r.ticket, Index: max(r.index, c.leaderState.firstIndex)})
 	}
 	c.leaderState.reads = rest
 }
--- a/replicator/membership.go
+++ b/replicator/membership.go
@@ -23,10 +23,10 @@
 // the peers. A voter without a leader may have been replaced while it was
 // partitioned, and all the disks that it knows may be gone.
 func (c *Core) sendHello() {
-	if c.Voter() && c.role != Trial || c.now.Before(c.helloAt) {
+	if c.IsVoter() && c.role != PreCandidate || c.now.Before(c.helloAt) {
 		return
 	}
-	c.helloAt = c.now.Add(helloIntervalHeartbeats * c.options.Timing.Heartbeat)
+	c.helloAt = c.now.Add(helloIntervalHeartbeats * c.options.Timing.HeartbeatInterval)
 	for _, p := range c.options.Peers {
 		c.send(Member{Name: p}, &messenger.LogMessage{Body: &messenger.LogMessage_Hello{Hello: &messenger.LogHello{}}})
 	}
@@ -57,7 +57,7 @@
 // must have reported an empty disk since then, and only the first by name
 // founds.
 func (c *Core) tryFoundDeployment() {
-	if c.options.NeverFounds || c.deployment != "" || len(c.unfounded) < len(c.options.Peers) {
+	if c.options.NoFounding || c.deployment != "" || len(c.unfounded) < len(c.options.Peers) {
 		return
 	}
 	all := []Member{c.self}
@@ -167,7 +167,7 @@
 }
 
 func (c *Core) isResponsive(p *progress) bool {
-	return !p.ackedAt.IsZero() && c.now.Sub(p.ackedAt) < c.options.Timing.Election
+	return !p.ackedAt.IsZero() && c.now.Sub(p.ackedAt) < c.options.Timing.ElectionTimeout
 }
 
 func (c *Core) changeVoters(voters []Member) {
--- a/replicator/pool_test.go
+++ b/replicator/pool_test.go
@@ -107,7 +107,7 @@
 	r := n.core.NewRestorer()
 	for _, b := range replicator.Buckets {
 		for k, v := range n.disk[b] {
-			r.Row(b, k, v)
+			r.AddRow(b, k, v)
 		}
 	}
 	actions, err := r.Start(n.now)
@@ -140,12 +140,12 @@
 			n.write(a)
 		case replicator.Send:
 			p.messages = append(p.messages, a.Message)
-		case replicator.Answered:
+		case replicator.ProposalCommitted:
 			if v := a.Result.(int); v > 0 {
 				p.acked[p.asked[a.Ticket].id] = v
 				p.floor = max(p.floor, n.core.Commit())
 			}
-		case replicator.Confirmed:
+		case replicator.ReadConfirmed:
 			p.reads++
 			if a.Index < p.asked[a.Ticket].floor {
 				p.t.Fatalf("confirmed read at %d misses commit %d", a.Index, p.asked[a.Ticket].floor)
@@ -304,7 +304,7 @@
 func (p *pool) settled(last string) bool {
 	for _, name := range p.names {
 		n := p.nodes[name]
-		if !slices.Contains(n.machine.history, last) || !n.core.Voter() {
+		if !slices.Contains(n.machine.history, last) || !n.core.IsVoter() {
 			return false
 		}
 	}
--- a/replicator/replicator.go
+++ b/replicator/replicator.go
@@ -44,7 +44,7 @@
 	Follower Role = iota
 	// PreCandidate asks whether it would win an election, without starting a new
 	// term (a pre-vote).
-	Trial
+	PreCandidate
 	Candidate
 	Leader
 )
@@ -52,11 +52,11 @@
 // Timing holds the intervals and timeouts of a core.
 type Timing struct {
 	// HeartbeatInterval is the interval between broadcasts of a leader.
-	Heartbeat time.Duration
+	HeartbeatInterval time.Duration
 	// ElectionTimeout is the minimum silence of a leader before an election
 	// starts, and the maximum time that a leader stays in office without a
 	// majority. The actual wait is drawn from ElectionTimeout to twice that.
-	Election time.Duration
+	ElectionTimeout time.Duration
 	// Replace is the silence after which a spare replaces a voter.
 	Replace time.Duration
 }
@@ -64,12 +64,12 @@
 // DefaultTiming returns timings that elect a new leader well under 2 s after
 // the failure of the old one.
 func DefaultTiming() Timing {
-	return Timing{Heartbeat: 100 * time.Millisecond, Election: 600 * time.Millisecond, Replace: 10 * time.Minute}
+	return Timing{HeartbeatInterval: 100 * time.Millisecond, ElectionTimeout: 600 * time.Millisecond, Replace: 10 * time.Minute}
 }
 
 // StateMachine is the state built from committed entries. Its methods must be
 // deterministic functions of the entries.
-type Machine interface {
+type StateMachine interface {
 	// Apply applies a committed change and returns its result.
 	Apply(data []byte) any
 	Snapshot() []byte
@@ -85,7 +85,7 @@
 	Voters  int
 	Timing  Timing
 	Rand    *rand.Rand
-	Machine Machine
+	Machine StateMachine
 	// CompactAfter is the number of applied entries after which a snapshot is
 	// taken. Half of them are retained beside it. 0 selects the default.
 	CompactAfter int
@@ -96,7 +96,7 @@
 	// so that it waits to be added to one. It is needed where members discover
 	// each other through seeds: a keeper whose disk was erased knows too few names
 	// to tell whether it is the first.
-	NeverFounds bool
+	NoFounding bool
 }
 
 const (
@@ -196,7 +196,7 @@
 func (c *Core) CommittedVoters() []Member { return c.log.votersAt(c.commit) }
 
 // IsVoter reports whether the local disk is a voter.
-func (c *Core) Voter() bool { return slices.Contains(c.log.voters, c.self) }
+func (c *Core) IsVoter() bool { return slices.Contains(c.log.voters, c.self) }
 
 // Ready reports whether the core is the leader and has applied everything that
 // was committed before its term.
@@ -256,7 +256,7 @@
 		return
 	}
 	c.sendHello()
-	if c.Voter() && !c.now.Before(c.electionAt) {
+	if c.IsVoter() && !c.now.Before(c.electionAt) {
 		c.startPreVote()
 		return
 	}
@@ -266,7 +266,7 @@
 // resetElectionTimer sets a random wait before the next election. Randomness
 // makes split votes between keepers unlikely.
 func (c *Core) resetElectionTimer() {
-	e := c.options.Timing.Election
+	e := c.options.Timing.ElectionTimeout
 	c.electionAt = c.now.Add(e + time.Duration(c.options.Rand.Int64N(int64(e))))
 }
 
@@ -274,7 +274,7 @@
 // keepers lost power there is no leader, and a pre-vote does not disturb a
 // leader that is still alive.
 func (c *Core) setStartupElectionTimer() {
-	e := c.options.Timing.Election
+	e := c.options.Timing.ElectionTimeout
 	c.electionAt = c.now.Add(e/startupMinDivisor + time.Duration(c.options.Rand.Int64N(int64(e/startupSpreadDivisor))))
 }
 
--- a/replicator/rows.go
+++ b/replicator/rows.go
@@ -45,7 +45,7 @@
 }
 
 // AddRow adds one row.
-func (r *Restorer) Row(bucket, key string, value []byte) {
+func (r *Restorer) AddRow(bucket, key string, value []byte) {
 	r.rowCount++
 	payload, ok := decodeRow(bucket, key, value)
 	switch bucket {
--- a/router/admit.go
+++ b/router/admit.go
@@ -58,11 +58,11 @@
 func (r *Router) admit(ctx context.Context, q *request) (func(), error) {
 	now := time.Now()
 	set := r.candidates(q, now)
-	if !set.Alive(now) {
+	if !set.HasFresh(now) {
 		return nil, rattanhoist.ErrNoEndpoint
 	}
 	l := r.limiter(q.service.Name)
-	l.retries.First()
+	l.retries.RecordRequest()
 	e := set.Service().Estimate(q.pickerQuery(now), now.Sub(l.epoch))
 	if !l.tryAdmit(set, now, q.deadline.Sub(now) > e.Service) {
 		if err := l.awaitVerdict(ctx, q, set, e); err != nil {
@@ -79,7 +79,7 @@
 	if !canMeetDeadline || l.waiting.Load() > 0 {
 		return false
 	}
-	if l.inFlight.Add(1) <= int64(set.Room(now)) {
+	if l.inFlight.Add(1) <= int64(set.FreeCapacity(now)) {
 		return true
 	}
 	l.inFlight.Add(-1)
@@ -114,7 +114,7 @@
 	l.waiters[id] = verdict
 	l.stepLocked(set, admitter.Event{Kind: admitter.Arrive, Request: admitter.Request{
 		ID: id, Workspace: q.key.Workspace(), Priority: q.priority, Deadline: q.deadline.Sub(l.epoch),
-		Tokens: e.Tokens, Service: e.Service, Least: e.Least, Random: rand.Float64(),
+		Tokens: e.Tokens, Service: e.Service, MinService: e.MinService, RandomValue: rand.Float64(),
 	}})
 	return id
 }
@@ -157,7 +157,7 @@
 // the waiting requests. The caller holds l.mu.
 func (l *limiter) stepLocked(set *picker.Set, e admitter.Event) {
 	now := time.Now()
-	e.InFlight, e.Limit = int(l.inFlight.Load()), set.Room(now)
+	e.InFlight, e.Limit = int(l.inFlight.Load()), set.FreeCapacity(now)
 	for _, a := range l.queue.Step(now.Sub(l.epoch), e) {
 		if a.Verdict == admitter.Start {
 			l.inFlight.Add(1)
@@ -171,7 +171,7 @@
 // verdictError converts a verdict into the error for the caller; it returns nil
 // if the request was admitted.
 func verdictError(a admitter.Action) error {
-	p := &Problem{Status: http.StatusServiceUnavailable, Code: CodeOverloaded, Outcome: NotRun, After: a.After}
+	p := &Problem{Status: http.StatusServiceUnavailable, Code: CodeOverloaded, Outcome: NotRun, After: a.RetryAfter}
 	switch a.Verdict {
 	case admitter.Start:
 		admitCounters.Add("waited", 1)
@@ -195,7 +195,7 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	if !r.limiter(q.service.Name).retries.Retry() {
+	if !r.limiter(q.service.Name).retries.AllowRetry() {
 		admitCounters.Add("retries_refused", 1)
 		return false
 	}
--- a/router/admit_test.go
+++ b/router/admit_test.go
@@ -23,7 +23,7 @@
 func newTestLimiter(capacity int64) (*limiter, *picker.Set) {
 	now := time.Now()
 	s, _ := admitter.New(admitter.Deadline)
-	e := rattanhoist.NewEndpoint(rattanhoist.EndpointFields{Name: "e", Service: "llm", Capacity: capacity, Heard: now})
+	e := rattanhoist.NewEndpoint(rattanhoist.EndpointFields{Name: "e", Service: "llm", Capacity: capacity, AnnouncedAt: now})
 	set := picker.NewLedger(now).NewSet("llm", "z", time.Hour, now, []*rattanhoist.Endpoint{e})
 	return &limiter{
 		epoch: now, retries: admitter.NewRetries(),
@@ -48,7 +48,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		l, set := newTestLimiter(4)
-		room := int64(set.Room(time.Now()))
+		room := int64(set.FreeCapacity(time.Now()))
 		var inside, most, served, left atomic.Int64
 		var wg sync.WaitGroup
 		for i := range 100 {
@@ -93,7 +93,7 @@
 		l, set := newTestLimiter(1)
 		g.Expect(l.tryAdmit(set, time.Now(), true)).To(gomega.BeTrue())
 		began := time.Now()
-		err := l.awaitVerdict(context.Background(), waitingRequest("w", 1, 10*time.Second), set, picker.Estimate{Service: 4 * time.Second, Least: 3 * time.Second})
+		err := l.awaitVerdict(context.Background(), waitingRequest("w", 1, 10*time.Second), set, picker.Estimate{Service: 4 * time.Second, MinService: 3 * time.Second})
 		g.Expect(problemFromError(err).Code).To(gomega.Equal(CodeOverloaded))
 		g.Expect(problemFromError(err).Outcome).To(gomega.Equal(NotRun))
 		g.Expect(problemFromError(err).After).To(gomega.BeNumerically(">", 0))
--- a/router/choose.go
+++ b/router/choose.go
@@ -61,9 +61,9 @@
 	set := r.candidates(q, now)
 	p := q.pickerQuery(now)
 	for name := range tried {
-		p.Tried = append(p.Tried, r.ledger.Known(name))
+		p.Tried = append(p.Tried, r.ledger.Lookup(name))
 	}
-	_, span := tracer.Begin(ctx, tracer.HopPick)
+	_, span := tracer.StartSpan(ctx, tracer.HopPick)
 	defer span.End(nil)
 	i := r.picker(q.service.Picker).Pick(p, set)
 	if i < 0 {
@@ -104,10 +104,10 @@
 	now := time.Now()
 	if !s.gotText {
 		s.gotText = true
-		s.run.First(now)
+		s.run.RecordFirstToken(now)
 	}
 	s.textCount++
-	s.run.Text(now, s.textCount)
+	s.run.RecordChunks(now, s.textCount)
 }
 
 // finish reports the result of the dispatch to the picker. A cancellation by
@@ -121,6 +121,6 @@
 	notEndpointFault := errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) ||
 		errors.Is(err, rattanhoist.ErrNoEndpoint)
 	s.run.End(time.Now(), picker.Outcome{
-		AnswerTokens: answerTokens, CachedTokens: s.cachedTokens, Whole: err == nil, Fault: err != nil && !notEndpointFault,
+		AnswerTokens: answerTokens, CachedTokens: s.cachedTokens, Complete: err == nil, EndpointFault: err != nil && !notEndpointFault,
 	}, rand.Float64())
 }
--- a/router/claim.go
+++ b/router/claim.go
@@ -77,7 +77,7 @@
 // acquire asks the voters for the claim. If another attempt holds it, the
 // returned row describes that attempt.
 func (c *claim) acquire(ctx context.Context) (claimer.Verdict, *messenger.ClaimRow) {
-	ctx, cancel := context.WithTimeout(ctx, claimer.ClaimTime)
+	ctx, cancel := context.WithTimeout(ctx, claimer.ClaimTimeout)
 	defer cancel()
 	q := c.request
 	claimRequest := &messenger.ClaimRequest{
@@ -129,7 +129,7 @@
 		c.settle(messenger.ClaimState_CLAIM_STATE_RELEASED, nil)
 		return r.resolveRefusedClaim(ctx, q, run, v, row)
 	}
-	run.Prove()
+	run.MarkFirstAttempt()
 	a, err := r.serveRequest(ctx, q, run)
 	stopped, _ := run.Stop()
 	switch {
@@ -147,7 +147,7 @@
 // what is known about the request.
 func (r *Router) resolveRefusedClaim(ctx context.Context, q *request, run *joiner.Run, v claimer.Verdict, row *messenger.ClaimRow) (*joiner.Answer, error) {
 	if v == claimer.Reused {
-		return nil, joiner.ErrReused
+		return nil, joiner.ErrIDReused
 	}
 	if v == claimer.Undecided {
 		return nil, &Problem{Status: http.StatusServiceUnavailable, Code: CodeUndecided, Outcome: Unknown, Detail: "too few keepers answer to claim a request that may not be repeated", After: defaultRetryAfter}
--- a/router/config_follower_test.go
+++ b/router/config_follower_test.go
@@ -27,7 +27,7 @@
 		b.Apply(putWorkspace(n))
 	}
 	return b, func(from uint64) *messenger.Update {
-		c, _ := b.Since(from)
+		c, _ := b.ChangesSince(from)
 		return &messenger.Update{BaseVersion: from, Changes: c, Version: b.Version(), Digest: b.Digest()}
 	}
 }
--- a/router/execute.go
+++ b/router/execute.go
@@ -32,7 +32,7 @@
 func (r *Router) answerLocally(ctx context.Context, q *request, f *feed, joinOnly bool) error {
 	rec, known := r.runRecords.get(q.key, time.Now())
 	if known && rec.digest != q.digest {
-		return joiner.ErrReused
+		return joiner.ErrIDReused
 	}
 	var err error
 	for range maxJoins {
@@ -41,7 +41,7 @@
 		run, begun, err = r.joiner.Arrive(time.Now(), joiner.Arrive{
 			Key: q.key, Digest: q.digest, Deadline: q.deadline,
 			Pinned: !q.repeatable, JoinOnly: joinOnly,
-			First: (q.generatedID || q.repeatable) && !q.rerouted && !known,
+			FirstAttempt: (q.generatedID || q.repeatable) && !q.rerouted && !known,
 		})
 		if err != nil {
 			return err
@@ -49,14 +49,14 @@
 		if joinOnly && run.Following() {
 			// Two routers that follow each other's run would wait forever.
 			r.joiner.Leave(time.Now(), q.key, run)
-			return joiner.ErrAbsent
+			return joiner.ErrNotFound
 		}
 		if !begun {
 			r.recordDecision(q, recorder.Decision{Kind: recorder.Joined, Reason: "the request runs here, or its answer is kept"})
 		}
 		if begun {
 			r.gate.add()
-			go r.execute(tracer.LinkOf(ctx), q, run)
+			go r.execute(tracer.LinkFromContext(ctx), q, run)
 		}
 		err = r.awaitAnswer(ctx, q, run, f)
 		if begun || ctx.Err() != nil || !endedEarly(err) {
@@ -120,7 +120,7 @@
 	default:
 		p.Outcome = Unknown
 	}
-	if run.Seen() {
+	if run.AnyDelivered() {
 		p.Code, p.Status = CodeStreamBroken, http.StatusBadGateway
 	}
 	if errors.Is(err, joiner.ErrStopped) || errors.Is(err, context.Canceled) {
--- a/router/feed.go
+++ b/router/feed.go
@@ -39,7 +39,7 @@
 		return nil
 	}
 	if f.nextOffset > 0 && f.sink.streamed() {
-		return joiner.ErrPassed
+		return joiner.ErrStreamChanged
 	}
 	f.nextOffset, f.stream = 0, s
 	return f.sink.begin(s)
--- a/router/gossip.go
+++ b/router/gossip.go
@@ -199,7 +199,7 @@
 			return p
 		}
 	}
-	return list[int(now.Steady()/gossipInterval)%len(list)]
+	return list[int(now.Monotonic()/gossipInterval)%len(list)]
 }
 
 // answeredWithin reports whether the router answered a pull within the given
--- a/router/handler.go
+++ b/router/handler.go
@@ -91,7 +91,7 @@
 	}
 	name := q.PathValue("service")
 	if name == "" {
-		return s.ChatsMayBeOnce()
+		return s.HasNonRepeatableModel()
 	}
 	service, err := s.Service(name)
 	return err == nil && service.NotRepeatable
--- a/router/home_server.go
+++ b/router/home_server.go
@@ -43,7 +43,7 @@
 	ctx, cancel := context.WithDeadline(out.Context(), q.deadline)
 	defer cancel()
 	err = r.answerLocally(ctx, q, &feed{sink: sink}, a.JoinOnly || !open)
-	if errors.Is(err, joiner.ErrAbsent) && !open {
+	if errors.Is(err, joiner.ErrNotFound) && !open {
 		err = drainingProblem()
 	}
 	if err != nil {
--- a/router/operations.go
+++ b/router/operations.go
@@ -59,7 +59,7 @@
 		out.Endpoints = append(out.Endpoints, &messenger.EndpointState{
 			Name: e.Name(), Service: e.Service(), Zone: e.Zone(), Address: e.Address(),
 			Incarnation: uint64(e.Incarnation()), Labels: e.Labels(), Capacity: e.Capacity(),
-			Load: e.Load(), Leaving: e.Leaving(), AgeMs: uint32(max(0, now.Sub(e.Heard()).Milliseconds())),
+			Load: e.Load(), Leaving: e.Leaving(), AgeMs: uint32(max(0, now.Sub(e.AnnouncedAt()).Milliseconds())),
 			ChecksFencing: e.ChecksFencing(),
 		})
 	}
--- a/router/periods.go
+++ b/router/periods.go
@@ -3,8 +3,8 @@
 // Periods of a router's messages, exported for capacity calculations.
 const (
 	// HeartbeatInterval is the time between two heartbeats to a sibling.
-	BeatEvery = heartbeatInterval
+	HeartbeatInterval = heartbeatInterval
 	// RenewInterval is the time between two announcements of an endpoint to one
 	// router.
-	RenewAfter = renewInterval
+	RenewInterval = renewInterval
 )
--- a/router/problem.go
+++ b/router/problem.go
@@ -122,17 +122,17 @@
 		return &Problem{Status: http.StatusServiceUnavailable, Code: CodeNoEndpoint, Outcome: NotRun, Detail: err.Error(), After: defaultRetryAfter}
 	case errors.Is(err, rattanhoist.ErrBudgetSpent):
 		return &Problem{Status: http.StatusPaymentRequired, Code: CodeBudgetSpent, Outcome: NotRun, Detail: err.Error()}
-	case errors.Is(err, joiner.ErrReused):
+	case errors.Is(err, joiner.ErrIDReused):
 		return &Problem{Status: http.StatusConflict, Code: CodeIDReused, Field: headerIdempotencyKey, Outcome: NotRun, Detail: "the id belongs to a request with another content; this one was not run"}
-	case errors.Is(err, joiner.ErrAbsent):
+	case errors.Is(err, joiner.ErrNotFound):
 		return &Problem{Status: http.StatusNotFound, Code: CodeAbsent, Outcome: Unknown, Detail: err.Error()}
 	case errors.Is(err, joiner.ErrStopped), errors.Is(err, context.Canceled):
 		return &Problem{Status: http.StatusServiceUnavailable, Code: CodeStopped, Outcome: Unknown, Detail: "the run ended early; ask again under the same id", After: defaultRetryAfter}
-	case errors.Is(err, joiner.ErrPassed):
+	case errors.Is(err, joiner.ErrStreamChanged):
 		return &Problem{Status: http.StatusBadGateway, Code: CodeStreamBroken, Outcome: Unknown, Detail: "the answer broke off; ask again under the same id", After: defaultRetryAfter}
 	case errors.Is(err, context.DeadlineExceeded):
 		return &Problem{Status: http.StatusGatewayTimeout, Code: CodeDeadline, Outcome: Unknown, Detail: "the deadline has passed", After: defaultRetryAfter}
-	case errors.Is(err, rattanhoist.ErrBudgetOutOfReach):
+	case errors.Is(err, rattanhoist.ErrBudgetUnavailable):
 		return &Problem{Status: http.StatusServiceUnavailable, Code: CodeBudgetOutOfReach, Outcome: NotRun, Detail: err.Error(), After: retryAfter(err)}
 	default:
 		return &Problem{Status: http.StatusBadGateway, Code: CodeEndpointFailed, Outcome: Unknown, Detail: err.Error(), After: defaultRetryAfter}
--- a/router/relay.go
+++ b/router/relay.go
@@ -68,8 +68,8 @@
 
 // joinRunAt copies the answer of a run at another router into a local run.
 func (r *Router) joinRunAt(ctx context.Context, q *request, run *joiner.Run, x *peer) (*joiner.Answer, error) {
-	run.Follow(true)
-	defer run.Follow(false)
+	run.SetFollowing(true)
+	defer run.SetFollowing(false)
 	s := &runSink{run: run}
 	if err := r.relay(ctx, q, x, &feed{sink: s}, true); err != nil {
 		return nil, err
--- a/router/router.go
+++ b/router/router.go
@@ -202,7 +202,7 @@
 func (r *Router) expireStale(now time.Time) {
 	r.runRecords.expire(now)
 	r.tracker.Expire(rattanhoist.MomentOf(now))
-	r.ledger.Forget(now, endpointRetention)
+	r.ledger.RemoveIdle(now, endpointRetention)
 }
 
 // runEvery calls f at every interval until ctx ends.
@@ -236,7 +236,7 @@
 	err := errors.Join(r.gate.wait(ctx), r.server.Shutdown(ctx))
 	give, cancelGive := context.WithTimeout(r.handover, returnRightsTimeout)
 	defer cancelGive()
-	r.treasurer.GiveBack(give)
+	r.treasurer.ReturnAll(give)
 	return err
 }
 
--- a/router/serve.go
+++ b/router/serve.go
@@ -108,7 +108,7 @@
 		}
 		last = err
 		var f *runError
-		if run.Seen() || ctx.Err() != nil || !errors.As(err, &f) || f.final || f.dispatched && !q.repeatable {
+		if run.AnyDelivered() || ctx.Err() != nil || !errors.As(err, &f) || f.final || f.dispatched && !q.repeatable {
 			return nil, err
 		}
 		if len(tried) < maxEndpointAttempts && !r.allowRetry(ctx, q) {
@@ -142,7 +142,7 @@
 	d.finish(a, err)
 	var x *runError
 	if errors.As(err, &x) && !x.dispatched {
-		run.Undispatch()
+		run.UndoDispatch()
 	}
 	return a, err
 }
--- a/router/traced_steps.go
+++ b/router/traced_steps.go
@@ -18,7 +18,7 @@
 // request's record. The functions below do the same for the other steps that
 // serve a request; some also update counters.
 func (r *Router) admitTraced(ctx context.Context, q *request) (func(), error) {
-	ctx, span := tracer.Begin(ctx, tracer.HopAdmit)
+	ctx, span := tracer.StartSpan(ctx, tracer.HopAdmit)
 	release, err := r.admit(ctx, q)
 	span.End(err)
 	if err == nil {
@@ -39,7 +39,7 @@
 // reserveTraced reserves the largest charge that the request can cause.
 func (r *Router) reserveTraced(ctx context.Context, q *request) (treasurer.Reservation, error) {
 	began := time.Now()
-	ctx, span := tracer.Begin(ctx, tracer.HopReserve)
+	ctx, span := tracer.StartSpan(ctx, tracer.HopReserve)
 	held, err := r.treasurer.Reserve(ctx, q.key.Workspace(), q.maxCharge)
 	span.End(err)
 	reserveTime.Observe(time.Since(began))
@@ -52,7 +52,7 @@
 // runTraced runs the request at an endpoint and records the dispatch and a
 // failure.
 func (r *Router) runTraced(ctx context.Context, q *request, e *rattanhoist.Endpoint, run func(context.Context) (*joiner.Answer, error)) (*joiner.Answer, error) {
-	ctx, span := tracer.Begin(ctx, tracer.HopDispatch)
+	ctx, span := tracer.StartSpan(ctx, tracer.HopDispatch)
 	span.Set("endpoint", e.Name())
 	r.recordDecision(q, recorder.Decision{Kind: recorder.Dispatched, Endpoint: e.Name()})
 	a, err := run(ctx)
@@ -66,7 +66,7 @@
 // billTraced charges the request and returns the charged tokens.
 func (r *Router) billTraced(ctx context.Context, q *request, held treasurer.Reservation, c *messenger.Charge) (rattanhoist.Tokens, error) {
 	began := time.Now()
-	ctx, span := tracer.Begin(ctx, tracer.HopBill)
+	ctx, span := tracer.StartSpan(ctx, tracer.HopBill)
 	n, err := held.Charge(ctx, c)
 	span.End(err)
 	billTime.Observe(time.Since(began))
@@ -79,7 +79,7 @@
 // relayTraced relays the request to its home router.
 func (r *Router) relayTraced(ctx context.Context, q *request, x *peer, f *feed) error {
 	home := x.process.Name()
-	ctx, span := tracer.Begin(ctx, tracer.HopHome)
+	ctx, span := tracer.StartSpan(ctx, tracer.HopHandOver)
 	span.Set("home", home)
 	r.recordDecision(q, recorder.Decision{Kind: recorder.HandedOver, Reason: "home router " + home + traceSuffix(ctx)})
 	err := r.relay(ctx, q, x, f, false)
@@ -97,7 +97,7 @@
 
 // claimTraced acquires the claim of a request that is not repeatable.
 func (r *Router) claimTraced(ctx context.Context, q *request, c *claim) (claimer.Verdict, *messenger.ClaimRow) {
-	ctx, span := tracer.Begin(ctx, tracer.HopClaim)
+	ctx, span := tracer.StartSpan(ctx, tracer.HopClaim)
 	v, row := c.acquire(ctx)
 	span.End(nil)
 	reason, known := verdictNames[v]
--- a/router/treasurer.go
+++ b/router/treasurer.go
@@ -33,7 +33,7 @@
 	}
 	// Keepers keep a charge for twice as long as a run may hold its
 	// reservation.
-	o.Policy.RunMost = s.Policy().KeepCharges() / 2
+	o.Policy.MaxRunTime = s.Policy().KeepCharges() / 2
 	closeWitness := func() {}
 	if next, ok := defaultWitness(s, self.Zone()); ok {
 		k, c, err := dial(next.RPC())
--- a/shaper/admission.go
+++ b/shaper/admission.go
@@ -31,13 +31,13 @@
 // and of a process whose lag is measured by lag.
 func NewAdmission(bytesPerSecond float64, lag *Lag) *Admission {
 	return &Admission{
-		link: New(bytesPerSecond), recent: NewMeter(bytesPerSecond, recentWindow), load: NewMeter(bytesPerSecond, loadWindow), lag: lag,
+		link: NewLink(bytesPerSecond), recent: NewMeter(bytesPerSecond, recentWindow), load: NewMeter(bytesPerSecond, loadWindow), lag: lag,
 	}
 }
 
 // Admit reports whether a request with a body of n bytes may be accepted.
 func (a *Admission) Admit(now time.Time, n int64) bool {
-	return a.lag.Now() <= maxLag && a.link.Admit(now, n)
+	return a.lag.Value() <= maxLag && a.link.Admit(now, n)
 }
 
 // Overloaded reports whether this VM delays work so much that failed connections say nothing about
@@ -56,7 +56,7 @@
 }
 
 // Delay returns the total queueing delay at the link and the processor.
-func (a *Admission) Delay(now time.Time) time.Duration { return a.link.Delay(now) + a.lag.Now() }
+func (a *Admission) Delay(now time.Time) time.Duration { return a.link.Delay(now) + a.lag.Value() }
 
 // Utilization returns the used fraction of the link's rate.
 func (a *Admission) Utilization(now time.Time) float64 { return a.load.Utilization(now) }
--- a/shaper/lag.go
+++ b/shaper/lag.go
@@ -24,11 +24,11 @@
 }
 
 // Value returns the smoothed lag.
-func (l *Lag) Now() time.Duration { return time.Duration(l.smoothed.Load()) }
+func (l *Lag) Value() time.Duration { return time.Duration(l.smoothed.Load()) }
 
 // Observe records how late a timer fired.
 func (l *Lag) Observe(late time.Duration) {
-	old := l.Now()
+	old := l.Value()
 	l.smoothed.Store(int64(old + time.Duration(lagSmoothing*float64(max(late, 0)-old))))
 }
 
--- a/shaper/link.go
+++ b/shaper/link.go
@@ -41,7 +41,7 @@
 
 // NewLink returns the model of a link that carries bytesPerSecond, or nil if that is 0, which
 // means no limit.
-func New(bytesPerSecond float64) *Link {
+func NewLink(bytesPerSecond float64) *Link {
 	if bytesPerSecond <= 0 {
 		return nil
 	}
--- a/shaper/link_test.go
+++ b/shaper/link_test.go
@@ -16,7 +16,7 @@
 
 func TestDelayFollowsWhatIsSent(t *testing.T) {
 	g := gomega.NewWithT(t)
-	l := shaper.New(rate)
+	l := shaper.NewLink(rate)
 	g.Expect(l.Delay(start)).To(gomega.BeZero())
 	l.Sent(start, 100_000)
 	g.Expect(l.Delay(start)).To(gomega.BeNumerically("~", 116*time.Millisecond, 2*time.Millisecond))
@@ -27,7 +27,7 @@
 
 func TestLinkWithoutLimitAdmitsAll(t *testing.T) {
 	g := gomega.NewWithT(t)
-	l := shaper.New(0)
+	l := shaper.NewLink(0)
 	l.Sent(start, 1<<30)
 	g.Expect(l.Admit(start, 1<<30)).To(gomega.BeTrue())
 	g.Expect(l.AdmitOptional(start, 1<<30)).To(gomega.BeTrue())
@@ -37,7 +37,7 @@
 // Guards against a large request that is never admitted on any link.
 func TestIdleLinkAdmitsAnyRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(shaper.New(rate).Admit(start, 4<<20)).To(gomega.BeTrue())
+	g.Expect(shaper.NewLink(rate).Admit(start, 4<<20)).To(gomega.BeTrue())
 }
 
 // One of a zone's 14 routers receives a third of its callers, and the prompts that it forwards
@@ -46,7 +46,7 @@
 // notices that use bandwidth which requests need.
 func TestHotRouterKeepsItsLinkShort(t *testing.T) {
 	g := gomega.NewWithT(t)
-	l, r := shaper.New(rate), rand.New(rand.NewPCG(1, 1))
+	l, r := shaper.NewLink(rate), rand.New(rand.NewPCG(1, 1))
 	const perSecond, seconds = 200, 20
 	var large, small, refusedLarge, refusedSmall, notices int
 	var sent float64
@@ -87,7 +87,7 @@
 // Guards against refusals at a router with ordinary load.
 func TestUsualLoadIsNotRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
-	l, r := shaper.New(rate), rand.New(rand.NewPCG(2, 1))
+	l, r := shaper.NewLink(rate), rand.New(rand.NewPCG(2, 1))
 	for at := time.Duration(0); at < 20*time.Second; at += time.Duration(r.ExpFloat64() * float64(time.Second) / 30) {
 		now := start.Add(at)
 		g.Expect(l.Admit(now, 12_000)).To(gomega.BeTrue())
--- a/shaper/shedder.go
+++ b/shaper/shedder.go
@@ -46,7 +46,7 @@
 }
 
 // Update records the utilization of the link and starts or ends shedding.
-func (s *Shedder) Step(now time.Time, utilization float64, zone ZoneLoad) {
+func (s *Shedder) Update(now time.Time, utilization float64, zone ZoneLoad) {
 	if s.shedding {
 		if now.Sub(s.changedAt) >= s.duration {
 			s.shedding, s.changedAt, s.busySince = false, now, time.Time{}
