--- a/steward/control.go
+++ b/steward/control.go
@@ -33,7 +33,7 @@
 
 // Control handles the calls of operators and the heartbeats of endpoints.
 type Control struct {
-	keeper       *Steward
+	keeper       *Keeper
 	decode       Decoder
 	serviceNames atomic.Pointer[serviceNames]
 	// refusalLog logs refused heartbeats, at most maxRefusalLogLines a second: a program
@@ -45,7 +45,7 @@
 const maxRefusalLogLines = 5
 
 // NewControl returns the control of a keeper; decode parses configuration documents.
-func NewControl(s *Steward, decode Decoder) *Control {
+func NewControl(s *Keeper, decode Decoder) *Control {
 	sampled := s.log.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(c, time.Second, maxRefusalLogLines, 0)
 	}))
@@ -66,7 +66,7 @@
 	if d.Number <= c.keeper.committedState.Load().document.Number() {
 		return nil
 	}
-	packed, err := publisher.Pack(content)
+	packed, err := publisher.Compress(content)
 	if err != nil {
 		return err
 	}
@@ -90,22 +90,22 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := c.keeper.loop.Reached(ctx, i); err != nil {
+	if err := c.keeper.loop.WaitApplied(ctx, i); err != nil {
 		return nil, merry.Errorf("%w: %s", ErrNoMajority, err.Error())
 	}
 	d := c.keeper.committedState.Load().document
 	if d.Number() == 0 {
 		return nil, merry.Errorf("%w: no configuration yet", ErrNoMajority)
 	}
-	return publisher.Unpack(d.Content())
+	return publisher.Decompress(d.Content())
 }
 
 // Heartbeat records a heartbeat. If the endpoint is leaving, it returns only once a
 // majority has stored the leave.
-func (c *Control) Beat(ctx context.Context, b enroller.Beat) (string, error) {
+func (c *Control) Heartbeat(ctx context.Context, b enroller.Heartbeat) (string, error) {
 	heartbeats.Inc()
 	if err := c.acceptHeartbeat(b); err != nil {
-		c.Refused(b.ID, err)
+		c.HeartbeatRefused(b.ID, err)
 		return "", err
 	}
 	if b.Leaving {
@@ -117,12 +117,12 @@
 // acceptHeartbeat records a heartbeat, or returns ErrInvalidHeartbeat if a program other
 // than the endpoint must have sent it. Accepting such a heartbeat would put a nonexistent
 // endpoint in service, or change the address behind an id that is in service.
-func (c *Control) acceptHeartbeat(b enroller.Beat) error {
+func (c *Control) acceptHeartbeat(b enroller.Heartbeat) error {
 	if !c.hasService(b.Service) {
-		return merry.Errorf("%w: no service %q", enroller.ErrUnusable, b.Service)
+		return merry.Errorf("%w: no service %q", enroller.ErrInvalidHeartbeat, b.Service)
 	}
 	if !c.keeper.registry.observeHeartbeat(time.Now(), b) {
-		return merry.Errorf("%w: it disagrees with what %s told before", enroller.ErrUnusable, b.ID)
+		return merry.Errorf("%w: it disagrees with what %s told before", enroller.ErrInvalidHeartbeat, b.ID)
 	}
 	return nil
 }
@@ -152,7 +152,7 @@
 // if it cannot be decoded.
 func (c *Control) loadServiceNames(d *governor.Document) *serviceNames {
 	out := &serviceNames{number: d.Number()}
-	b, err := publisher.Unpack(d.Content())
+	b, err := publisher.Decompress(d.Content())
 	if err != nil {
 		c.keeper.log.Error("cannot read the service names of the configuration", zap.Uint64("number", d.Number()), zap.Error(err))
 		return out
@@ -170,7 +170,7 @@
 }
 
 // HeartbeatRefused counts and logs a heartbeat that was refused.
-func (c *Control) Refused(endpoint string, why error) {
+func (c *Control) HeartbeatRefused(endpoint string, why error) {
 	heartbeatsRefused.Inc()
 	c.refusalLog.Warn("heartbeat refused", zap.String("endpoint", endpoint), zap.Error(why))
 }
@@ -181,13 +181,13 @@
 	if slices.Contains(c.keeper.committedState.Load().leftEndpoints, i) {
 		return nil
 	}
-	err := c.keeper.commitChange(ctx, &messenger.FleetChange{Body: &messenger.FleetChange_Leave{Leave: i.Leave()}})
+	err := c.keeper.commitChange(ctx, &messenger.FleetChange{Body: &messenger.FleetChange_Leave{Leave: i.LeaveChange()}})
 	c.keeper.log.Info("endpoint leaves", zap.Stringer("endpoint", i), zap.Error(err))
 	return err
 }
 
 // commitChange commits a change, counts the result, and returns ErrNoMajority if it fails.
-func (s *Steward) commitChange(ctx context.Context, change *messenger.FleetChange) error {
+func (s *Keeper) commitChange(ctx context.Context, change *messenger.FleetChange) error {
 	began := time.Now()
 	r, err := s.submitChange(ctx, change)
 	changeDurations.Update(time.Since(began).Seconds())
@@ -202,7 +202,7 @@
 }
 
 // submitChange commits a change here or at the leader, and retries until changeTimeout.
-func (s *Steward) submitChange(ctx context.Context, change *messenger.FleetChange) (*messenger.OrderReply, error) {
+func (s *Keeper) submitChange(ctx context.Context, change *messenger.FleetChange) (*messenger.OrderReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	arrived := time.Now()
@@ -221,9 +221,9 @@
 
 // trySubmit commits a change here if this keeper leads, and otherwise passes it to the
 // known leader. Done is not set in the reply if neither leads.
-func (s *Steward) trySubmit(ctx context.Context, change *messenger.FleetChange) (*messenger.OrderReply, error) {
+func (s *Keeper) trySubmit(ctx context.Context, change *messenger.FleetChange) (*messenger.OrderReply, error) {
 	state := s.loop.State()
-	if state.Leads() {
+	if state.IsLeader() {
 		return s.commitAsLeader(ctx, change)
 	}
 	x := s.peers.get(state.Leader())
@@ -244,9 +244,9 @@
 
 // commitAsLeader commits a change if this keeper leads. A change may be committed twice
 // when its first outcome was lost; applying any kind of change again does no harm.
-func (s *Steward) commitAsLeader(ctx context.Context, change *messenger.FleetChange) (*messenger.OrderReply, error) {
+func (s *Keeper) commitAsLeader(ctx context.Context, change *messenger.FleetChange) (*messenger.OrderReply, error) {
 	if r := change.GetRights(); r != nil {
-		if !s.loop.State().Leads() {
+		if !s.loop.State().IsLeader() {
 			return &messenger.OrderReply{Leader: s.loop.State().Leader()}, nil
 		}
 		recordKeeperClock(r, time.Now(), func(m *messenger.RightsMoment, at int64) { m.LeaderMs = at })
@@ -259,7 +259,7 @@
 	if l := change.GetLeave(); l != nil {
 		// The keeper that received the call may have just started and not know the
 		// incarnation.
-		change = &messenger.FleetChange{Body: &messenger.FleetChange_Leave{Leave: s.registry.resolveIncarnation(enroller.LeaveOf(l)).Leave()}}
+		change = &messenger.FleetChange{Body: &messenger.FleetChange_Leave{Leave: s.registry.resolveIncarnation(enroller.IncarnationFromLeave(l)).LeaveChange()}}
 	}
 	b, err := proto.Marshal(change)
 	if err != nil {
@@ -276,11 +276,11 @@
 }
 
 // readIndex returns a log index that covers everything acknowledged before the call.
-func (s *Steward) readIndex(ctx context.Context) (uint64, error) {
+func (s *Keeper) readIndex(ctx context.Context) (uint64, error) {
 	for {
 		state := s.loop.State()
-		if state.Leads() {
-			if i, err := s.loop.Confirm(ctx); err == nil {
+		if state.IsLeader() {
+			if i, err := s.loop.ReadIndex(ctx); err == nil {
 				return i, nil
 			}
 		} else if x := s.peers.get(state.Leader()); x != nil {
@@ -308,10 +308,10 @@
 
 // submitClaim commits a router's claim. If this keeper leads, it relays the claim through
 // another keeper first, which adds its own clock reading to the leader's.
-func (s *Steward) submitClaim(ctx context.Context, change *messenger.FleetChange) (*messenger.OrderReply, error) {
+func (s *Keeper) submitClaim(ctx context.Context, change *messenger.FleetChange) (*messenger.OrderReply, error) {
 	rightsClaims.Inc()
 	names, arrived := s.peers.names(), time.Now()
-	if s.loop.State().Leads() && len(names) > 0 {
+	if s.loop.State().IsLeader() && len(names) > 0 {
 		x := s.peers.get(names[rand.IntN(len(names))])
 		var r *messenger.OrderReply
 		err := x.link.Call(ctx, relayTimeout, func(ctx context.Context, c messenger.FleetKeeperClient) error {
--- a/steward/counters.go
+++ b/steward/counters.go
@@ -21,10 +21,10 @@
 )
 
 // registerGauges registers the gauges of a keeper; a process has one keeper only.
-func (s *Steward) registerGauges() {
+func (s *Keeper) registerGauges() {
 	metrics.GetOrCreateGauge("rattanhoist_log_applied", func() float64 { return float64(s.loop.State().Applied()) })
 	metrics.GetOrCreateGauge("rattanhoist_log_leads", func() float64 {
-		if s.loop.State().Leads() {
+		if s.loop.State().IsLeader() {
 			return 1
 		}
 		return 0
--- a/steward/endpoints_file.go
+++ b/steward/endpoints_file.go
@@ -22,7 +22,7 @@
 // file, no keeper would know any endpoint after a restart of all keepers until the next
 // heartbeats, and the first few endpoints heard of would get all requests of the callers
 // that reconnect at once.
-func (s *Steward) persistEndpoints(ctx context.Context) {
+func (s *Keeper) persistEndpoints(ctx context.Context) {
 	t := time.NewTicker(persistInterval)
 	defer t.Stop()
 	var written uint64
@@ -49,7 +49,7 @@
 }
 
 // writeEndpoints replaces the content of the endpoints file.
-func (s *Steward) writeEndpoints(known *messenger.Sightings) error {
+func (s *Keeper) writeEndpoints(known *messenger.Sightings) error {
 	b, err := proto.Marshal(known)
 	if err != nil {
 		return err
@@ -60,7 +60,7 @@
 // restoreEndpoints loads the endpoints from disk as if their heartbeats had just arrived.
 // One that is gone is detected by a request, which names the incarnation that it is meant
 // for, or expires for lack of heartbeats.
-func (s *Steward) restoreEndpoints() {
+func (s *Keeper) restoreEndpoints() {
 	b, err := s.endpointsFile.Read()
 	if err != nil {
 		s.log.Warn("cannot read the endpoints file", zap.Error(err))
--- a/steward/evacuation.go
+++ b/steward/evacuation.go
@@ -25,7 +25,7 @@
 
 // WithdrawEvacuation returns nil once a majority has stored that a zone is in service
 // again, and governor.ErrUnknownZone for a zone that does not exist.
-func (c *Control) Withdraw(ctx context.Context, zone string) error {
+func (c *Control) WithdrawEvacuation(ctx context.Context, zone string) error {
 	return c.submitEvacuation(ctx, &messenger.EvacuationChange{Zone: zone, Withdrawn: true})
 }
 
@@ -41,7 +41,7 @@
 }
 
 // hasZone reports whether the settings or a known endpoint name the zone.
-func (s *Steward) hasZone(zone string) bool {
+func (s *Keeper) hasZone(zone string) bool {
 	return s.node.Regions()[zone] != "" || zone == s.node.Zone() || s.registry.hasZone(zone)
 }
 
--- a/steward/quarantine.go
+++ b/steward/quarantine.go
@@ -21,7 +21,7 @@
 	duration time.Duration
 
 	mu       sync.Mutex
-	register *quarantiner.Register
+	register *quarantiner.CrashTracker
 	// newCrashes and newAnswered hold what routers reported to this keeper since it last
 	// shared its observations.
 	newCrashes  []quarantiner.Crash
@@ -34,7 +34,7 @@
 }
 
 func newQuarantineTracker(duration time.Duration) *quarantineTracker {
-	return &quarantineTracker{duration: duration, register: quarantiner.NewRegister(duration), answered: map[quarantiner.Fingerprint]bool{}}
+	return &quarantineTracker{duration: duration, register: quarantiner.NewCrashTracker(duration), answered: map[quarantiner.Fingerprint]bool{}}
 }
 
 // recordReports records the crashes and answered requests that a router reports.
@@ -42,14 +42,14 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, m := range crashes {
-		c := quarantiner.CrashOf(now, m)
-		if q.register.Hear(now, c) {
+		c := quarantiner.CrashFromMessage(now, m)
+		if q.register.Add(now, c) {
 			crashesReported.Inc()
 			q.newCrashes = append(q.newCrashes, c)
 		}
 	}
 	for _, m := range answered {
-		f := quarantiner.FingerprintOf(m)
+		f := quarantiner.FingerprintFromMessage(m)
 		q.markAnswered(f)
 		q.newAnswered = append(q.newAnswered, f)
 	}
@@ -66,10 +66,10 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, m := range s.Crashes {
-		q.register.Hear(now, quarantiner.CrashOf(now, m))
+		q.register.Add(now, quarantiner.CrashFromMessage(now, m))
 	}
 	for _, m := range s.Answered {
-		q.markAnswered(quarantiner.FingerprintOf(m))
+		q.markAnswered(quarantiner.FingerprintFromMessage(m))
 	}
 }
 
@@ -82,7 +82,7 @@
 		s.Crashes = append(s.Crashes, c.Message(now))
 	}
 	for _, f := range q.newAnswered {
-		s.Answered = append(s.Answered, f.Content())
+		s.Answered = append(s.Answered, f.Message())
 	}
 	q.newCrashes, q.newAnswered = nil, nil
 	return len(s.Crashes)+len(s.Answered) > 0
@@ -100,7 +100,7 @@
 			released = append(released, x.Request)
 		}
 	}
-	q.register.Hold(held)
+	q.register.SetQuarantined(held)
 	clear(q.answered)
 	for _, f := range released {
 		q.answered[f] = true
@@ -112,15 +112,15 @@
 func (q *quarantineTracker) due(now time.Time) []quarantiner.Fingerprint {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.register.Due(now)
+	return q.register.ToQuarantine(now)
 }
 
 // submitQuarantines commits the requests to quarantine and those to release, if this
 // keeper leads.
-func (s *Steward) submitQuarantines(ctx context.Context) {
+func (s *Keeper) submitQuarantines(ctx context.Context) {
 	now := time.Now()
 	released := s.quarantines.setHeld(activeQuarantines(s.committedState.Load().quarantines, now))
-	if !s.loop.State().Leads() {
+	if !s.loop.State().IsLeader() {
 		return
 	}
 	due := s.quarantines.due(now)
@@ -136,13 +136,13 @@
 
 // submitQuarantine quarantines requests for a duration starting now; a duration of 0
 // releases them.
-func (s *Steward) submitQuarantine(ctx context.Context, requests []quarantiner.Fingerprint, now time.Time, duration time.Duration, message string) {
+func (s *Keeper) submitQuarantine(ctx context.Context, requests []quarantiner.Fingerprint, now time.Time, duration time.Duration, message string) {
 	if len(requests) == 0 {
 		return
 	}
 	change := &messenger.QuarantineChange{AtMs: now.UnixMilli(), UntilMs: now.Add(duration).UnixMilli()}
 	for _, f := range requests {
-		change.Requests = append(change.Requests, f.Content())
+		change.Requests = append(change.Requests, f.Message())
 	}
 	err := s.commitChange(ctx, &messenger.FleetChange{Body: &messenger.FleetChange_Quarantine{Quarantine: change}})
 	if err != nil {
@@ -171,7 +171,7 @@
 	var out []*messenger.QuarantineTold
 	for _, q := range list {
 		if q.Number > number {
-			out = append(out, &messenger.QuarantineTold{Request: q.Request.Content(), Number: q.Number, LeftMs: max(q.UntilMS-now.UnixMilli(), 0)})
+			out = append(out, &messenger.QuarantineTold{Request: q.Request.Message(), Number: q.Number, LeftMs: max(q.UntilMS-now.UnixMilli(), 0)})
 		}
 	}
 	return out
--- a/steward/registry.go
+++ b/steward/registry.go
@@ -41,13 +41,13 @@
 
 // observeHeartbeat records a heartbeat and reports whether it is consistent with what is
 // known of its id.
-func (r *registry) observeHeartbeat(now time.Time, b enroller.Beat) bool {
+func (r *registry) observeHeartbeat(now time.Time, b enroller.Heartbeat) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.table.Consistent(b) {
 		return false
 	}
-	r.table.Hear(now, b, 0)
+	r.table.Observe(now, b, 0)
 	r.unshared[b.ID] = true
 	return true
 }
@@ -69,7 +69,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if k, ok := r.table.Known(i.ID); ok {
+	if k, ok := r.table.Current(i.ID); ok {
 		return k
 	}
 	return i
@@ -112,8 +112,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, x := range s.Sightings {
-		b, age := enroller.BeatOf(x)
-		r.table.Hear(now, b, age)
+		b, age := enroller.HeartbeatFromSighting(x)
+		r.table.Observe(now, b, age)
 	}
 	for _, m := range s.Routers {
 		r.routers.observeRelayed(now, m)
@@ -142,7 +142,7 @@
 		return
 	}
 	view := r.table.View(q.Router.GetZone())
-	out.Revision, out.Epoch = view.Revision(now), r.epoch
+	out.Revision, out.Epoch = view.Refresh(now), r.epoch
 	if fillChanges(now, view, q, out) || q.Revision == out.Revision && q.Epoch == 0 {
 		return
 	}
@@ -161,7 +161,7 @@
 	}
 	out.Partial, out.Endpoints = true, changed
 	for _, i := range removed {
-		out.Gone = append(out.Gone, i.Leave())
+		out.Gone = append(out.Gone, i.LeaveChange())
 	}
 	return true
 }
--- a/steward/server.go
+++ b/steward/server.go
@@ -15,7 +15,7 @@
 // server implements the gRPC service that keepers and routers call.
 type server struct {
 	messenger.UnimplementedFleetKeeperServer
-	keeper *Steward
+	keeper *Keeper
 }
 
 // Carry passes a message of the replicated log to the loop.
@@ -51,7 +51,7 @@
 
 // Confirm returns a confirmed log index if this keeper leads, and the leader otherwise.
 func (v *server) Confirm(ctx context.Context, _ *messenger.ConfirmRequest) (*messenger.ConfirmReply, error) {
-	i, err := v.keeper.loop.Confirm(ctx)
+	i, err := v.keeper.loop.ReadIndex(ctx)
 	if errors.Is(err, committer.ErrNotLeader) {
 		return &messenger.ConfirmReply{Leader: v.keeper.loop.State().Leader()}, nil
 	}
@@ -86,7 +86,7 @@
 	out.Quarantined = quarantinesSince(committed.quarantines, q.Quarantine, now)
 	if q.SkipEndpoints || len(out.Endpoints) > 0 || q.Revision != out.Revision || q.Epoch != out.Epoch {
 		for _, i := range committed.leftEndpoints[max(len(committed.leftEndpoints)-maxLeavesSent, 0):] {
-			out.Left = append(out.Left, i.Leave())
+			out.Left = append(out.Left, i.LeaveChange())
 		}
 	}
 	return out, nil
@@ -106,7 +106,7 @@
 
 // confirmedAge returns the milliseconds since a majority last confirmed this keeper's
 // copy, or -1 if none has.
-func (s *Steward) confirmedAge(now time.Time) int64 {
+func (s *Keeper) confirmedAge(now time.Time) int64 {
 	at := s.loop.State().ConfirmedAt()
 	if at.IsZero() {
 		return -1
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -69,7 +69,7 @@
 }
 
 // Keeper is one keeper process.
-type Steward struct {
+type Keeper struct {
 	node      *loader.Node
 	log       *zap.Logger
 	startedAt time.Time
@@ -84,7 +84,7 @@
 	// quarantines detects the requests under which endpoints crash.
 	quarantines *quarantineTracker
 	// endpointsFile stores the known endpoints across restarts.
-	endpointsFile *storer.Note
+	endpointsFile *storer.AtomicFile
 	// scarce holds the workspaces whose balance was last logged as low, and
 	// balancesCheckedAt the time of that check; only the loop uses them.
 	scarce            map[string]bool
@@ -92,13 +92,13 @@
 }
 
 // New opens the store and restores the log. The returned function closes the store.
-func New(n *loader.Node, log *zap.Logger) (*Steward, func(), error) {
+func New(n *loader.Node, log *zap.Logger) (*Keeper, func(), error) {
 	store, closeStore, err := storer.Open(n.DataDir())
 	if err != nil {
 		return nil, nil, err
 	}
-	s := &Steward{
-		node: n, log: log, startedAt: time.Now(), state: governor.New(), scarce: map[string]bool{}, endpointsFile: storer.NewNote(n.DataDir(), endpointsFileName),
+	s := &Keeper{
+		node: n, log: log, startedAt: time.Now(), state: governor.New(), scarce: map[string]bool{}, endpointsFile: storer.NewAtomicFile(n.DataDir(), endpointsFileName),
 	}
 	s.committedState.Store(&committedState{document: s.state.Document(), evacuations: s.state.Evacuations()})
 	s.peers = newPeerLinks(n.Internal(), n.Seeds(), s.setPeers)
@@ -107,12 +107,12 @@
 	s.loop, err = committer.New(committer.Options{
 		Core: replicator.Options{
 			Name: n.Internal(), Peers: s.peers.names(), Voters: 2*n.LostDisks() + 1,
-			Timing:  replicator.Timing{Heartbeat: logHeartbeatInterval, Election: electionTimeout, Replace: replaceVoterAfter},
+			Timing:  replicator.Timing{HeartbeatInterval: logHeartbeatInterval, ElectionTimeout: electionTimeout, Replace: replaceVoterAfter},
 			Rand:    newRand(),
 			Machine: s.state, CompactAfter: compactEntries, CompactBytes: compactBytes,
-			NeverFounds: !n.FirstStart() || !slices.Contains(n.Seeds(), n.Internal()),
+			NoFounding: !n.FirstStart() || !slices.Contains(n.Seeds(), n.Internal()),
 		},
-		Store: store, Send: s.peers.send, Committed: s.onCommit, Log: log,
+		Store: store, Send: s.peers.send, OnCommit: s.onCommit, Log: log,
 	})
 	if err != nil {
 		_ = closeStore()
@@ -136,7 +136,7 @@
 }
 
 // onCommit publishes what the loop has applied and synced.
-func (s *Steward) onCommit() {
+func (s *Keeper) onCommit() {
 	old := s.committedState.Load()
 	v := &committedState{
 		document: s.state.Document(), leftEndpoints: s.state.LeftEndpoints(), quarantines: s.state.Quarantines(),
@@ -149,7 +149,7 @@
 	s.committedState.Store(v)
 	if v.document.Number() != old.document.Number() {
 		s.log.Info("configuration", zap.Uint64("number", v.document.Number()), zap.Int("bytes", len(v.document.Content())),
-			zap.Int64("prepaid", s.state.Ledger().Prepaid()))
+			zap.Int64("prepaid", s.state.Ledger().TotalPrepaid()))
 	}
 	if len(v.leftEndpoints) > 0 {
 		s.registry.markLeft(time.Now(), v.leftEndpoints)
@@ -159,7 +159,7 @@
 
 // logScarceBalances logs each workspace whose prepaid balance becomes low or is no longer
 // low. While it is low, some of the workspace's requests are refused.
-func (s *Steward) logScarceBalances(now time.Time) {
+func (s *Keeper) logScarceBalances(now time.Time) {
 	if now.Sub(s.balancesCheckedAt) < balanceLogInterval {
 		return
 	}
@@ -170,13 +170,13 @@
 		}
 		s.scarce[b.Workspace] = b.Scarce
 		s.log.Info("prepaid total", zap.String("workspace", b.Workspace), zap.Bool("scarce", b.Scarce), zap.Int64("total", b.Total),
-			zap.Int64("left", b.Left), zap.Int64("held", b.Held), zap.Int64("spent", b.Spent), zap.Int64("ended", b.Ended))
+			zap.Int64("left", b.Unallocated), zap.Int64("held", b.Held), zap.Int64("spent", b.Spent), zap.Int64("ended", b.SpentByEnded))
 	}
 }
 
 // setPeers passes the names of the other keepers to the log, once the deployment is
 // founded.
-func (s *Steward) setPeers(names []string) {
+func (s *Keeper) setPeers(names []string) {
 	if s.loop == nil || !s.loop.State().Founded() {
 		// Until the deployment is founded, only the configured seeds decide which keeper
 		// founds it.
@@ -188,14 +188,14 @@
 }
 
 // AddSeeds adds the keepers that changed settings name.
-func (s *Steward) Learn(seeds []string) {
+func (s *Keeper) AddSeeds(seeds []string) {
 	for _, x := range seeds {
 		s.peers.add(x)
 	}
 }
 
 // Run serves calls until ctx ends.
-func (s *Steward) Run(ctx context.Context, control func(*Steward) http.Handler) error {
+func (s *Keeper) Run(ctx context.Context, control func(*Keeper) http.Handler) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	internalListener, err := net.Listen("tcp", s.node.Internal())
@@ -233,7 +233,7 @@
 const shutdownTimeout = 200 * time.Millisecond
 
 // stop closes the servers after a short wait for answers in progress.
-func (s *Steward) stop(rpc *grpc.Server, web *http.Server) {
+func (s *Keeper) stop(rpc *grpc.Server, web *http.Server) {
 	s.log.Info("keeper stops")
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -242,7 +242,7 @@
 }
 
 // shareObservations periodically sends what this keeper observed to the other keepers.
-func (s *Steward) shareObservations(ctx context.Context) {
+func (s *Keeper) shareObservations(ctx context.Context) {
 	t := time.NewTicker(shareInterval)
 	defer t.Stop()
 	var sharedAt time.Time
@@ -267,7 +267,7 @@
 
 // addVoters adds the voters of the log to the known peers: after a restart, the seeds in
 // the settings may name other VMs.
-func (s *Steward) addVoters() {
+func (s *Keeper) addVoters() {
 	for _, v := range s.loop.State().Voters() {
 		s.peers.add(v.Name)
 	}
--- a/storer/atomic_file.go
+++ b/storer/atomic_file.go
@@ -21,15 +21,15 @@
 // AtomicFile is a small file that is always replaced as a whole. Its directory
 // is not synced, so after a loss of power the file may have its previous content
 // or be missing; use it only for data that its owner can do without.
-type Note struct{ path string }
+type AtomicFile struct{ path string }
 
 // NewAtomicFile returns the file with a name in dir, without creating it.
-func NewNote(dir, name string) *Note { return &Note{path: filepath.Join(dir, name)} }
+func NewAtomicFile(dir, name string) *AtomicFile { return &AtomicFile{path: filepath.Join(dir, name)} }
 
 // Write replaces the content of the file. The new file is synced before it
 // replaces the old one, so that either the old or the new content survives a
 // loss of power.
-func (n *Note) Write(content []byte) error {
+func (n *AtomicFile) Write(content []byte) error {
 	b := binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(content))
 	next := n.path + ".new"
 	f, err := os.OpenFile(next, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, fileMode)
@@ -51,7 +51,7 @@
 
 // Read returns the content of the file, nil if the file does not exist, or
 // ErrTorn if its checksum does not match.
-func (n *Note) Read() ([]byte, error) {
+func (n *AtomicFile) Read() ([]byte, error) {
 	b, err := os.ReadFile(n.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
--- a/storer/storer.go
+++ b/storer/storer.go
@@ -176,7 +176,7 @@
 }
 
 // EachFrom calls f for every row whose key is not less than first, in key order.
-func (v View) From(bucket, first string, f func(key string, value []byte) error) error {
+func (v View) EachFrom(bucket, first string, f func(key string, value []byte) error) error {
 	b := v.tx.Bucket([]byte(bucket))
 	if b == nil {
 		return nil
@@ -191,7 +191,7 @@
 }
 
 // UsedBytes returns the size of the file without its free pages, in bytes.
-func (s *Store) Used() int64 {
+func (s *Store) UsedBytes() int64 {
 	var size int64
 	_ = s.View(func(v View) error {
 		size = v.tx.Size()
--- a/tracer/tracer.go
+++ b/tracer/tracer.go
@@ -91,8 +91,8 @@
 
 var propagator = propagation.TraceContext{}
 
-// On reports whether tracing is enabled.
-func On() bool { return activeTracer != nil }
+// Enabled reports whether tracing is enabled.
+func Enabled() bool { return activeTracer != nil }
 
 // Start enables tracing for the process. The returned function exports the
 // remaining spans and disables tracing.
@@ -149,16 +149,16 @@
 	HopPick     = "pick"
 	HopDispatch = "dispatch"
 	HopBill     = "bill"
-	HopHome     = "hand_over_to_home"
+	HopHandOver = "hand_over_to_home"
 	HopClaim    = "claim"
 )
 
 // Span is the span of one hop or call. Its zero value is a no-op.
 type Span struct{ s trace.Span }
 
-// Begin starts a span for a hop. The caller must call End when the hop is
+// StartSpan starts a span for a hop. The caller must call End when the hop is
 // finished.
-func Begin(ctx context.Context, hop string) (context.Context, Span) {
+func StartSpan(ctx context.Context, hop string) (context.Context, Span) {
 	if activeTracer == nil {
 		return ctx, Span{}
 	}
@@ -171,15 +171,15 @@
 var spanKinds = map[string]trace.SpanKind{
 	HopRequest:  trace.SpanKindServer,
 	HopDispatch: trace.SpanKindClient,
-	HopHome:     trace.SpanKindClient,
+	HopHandOver: trace.SpanKindClient,
 }
 
 // traceparentHeader is the header name defined by W3C Trace Context.
 const traceparentHeader = "traceparent"
 
-// BeginCall starts a client span for a call over a stream if the trace in ctx
+// StartClientSpan starts a client span for a call over a stream if the trace in ctx
 // is sampled. The method has the gRPC form "/service/method".
-func BeginCall(ctx context.Context, method string) (context.Context, Span) {
+func StartClientSpan(ctx context.Context, method string) (context.Context, Span) {
 	if activeTracer == nil || !trace.SpanContextFromContext(ctx).IsSampled() {
 		return ctx, Span{}
 	}
@@ -198,10 +198,10 @@
 	return c.Get(traceparentHeader)
 }
 
-// BeginServed starts the server span for a call received over a stream. The
+// StartServerSpan starts the server span for a call received over a stream. The
 // traceparent comes from the caller; if it is empty, no span is started. The
 // method has the gRPC form "/service/method".
-func BeginServed(ctx context.Context, method, traceparent string) (context.Context, Span) {
+func StartServerSpan(ctx context.Context, method, traceparent string) (context.Context, Span) {
 	if activeTracer == nil || traceparent == "" {
 		return ctx, Span{}
 	}
@@ -261,7 +261,7 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		ctx, s := Begin(extract(r.Context(), r.Header), HopRequest)
+		ctx, s := StartSpan(extract(r.Context(), r.Header), HopRequest)
 		s.Set("http.request.method", r.Method)
 		s.Set("url.path", r.URL.Path)
 		defer s.End(nil)
@@ -273,9 +273,9 @@
 // that several requests share. The zero value refers to no span.
 type Link struct{ c trace.SpanContext }
 
-// LinkOf returns a link to the span in ctx, or the zero value if tracing is
+// LinkFromContext returns a link to the span in ctx, or the zero value if tracing is
 // disabled.
-func LinkOf(ctx context.Context) Link {
+func LinkFromContext(ctx context.Context) Link {
 	if activeTracer == nil {
 		return Link{}
 	}
--- a/tracker/gossip.go
+++ b/tracker/gossip.go
@@ -166,7 +166,7 @@
 	if e.endpoint.Leaving() {
 		return 0, true
 	}
-	age, ok := now.Since(e.endpoint.HeardMoment())
+	age, ok := now.Since(e.endpoint.AnnouncedAtMoment())
 	if !ok || age >= t.maxAge {
 		return 0, false
 	}
--- a/tracker/pack.go
+++ b/tracker/pack.go
@@ -109,7 +109,7 @@
 		if e == nil {
 			continue
 		}
-		if age, ok := now.Since(e.endpoint.HeardMoment()); ok && age < enough {
+		if age, ok := now.Since(e.endpoint.AnnouncedAtMoment()); ok && age < enough {
 			out = append(out, n)
 		}
 	}
--- a/tracker/token.go
+++ b/tracker/token.go
@@ -14,7 +14,7 @@
 // would take announcements that waited in its buffers for fresh ones.
 func (t *Tracker) Token(now rattanhoist.Moment) string {
 	b := strconv.AppendUint(nil, uint64(t.incarnation), 16)
-	b = strconv.AppendInt(append(b, '.'), int64(now.Steady()), 16)
+	b = strconv.AppendInt(append(b, '.'), int64(now.Monotonic()), 16)
 	return string(strconv.AppendInt(append(b, '.'), int64(now.Wall()), 16))
 }
 
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -198,7 +198,7 @@
 }
 
 func restartsAfter(old *entry, now rattanhoist.Moment) int {
-	if now.Steady()-old.joinedAt.Steady() >= stableAfter {
+	if now.Monotonic()-old.joinedAt.Monotonic() >= stableAfter {
 		return 0
 	}
 	return old.restarts + 1
@@ -221,7 +221,7 @@
 	if err := t.checkAddress(r, now); err != nil {
 		return err
 	}
-	r.heard = later(e.endpoint.HeardMoment(), r.heard)
+	r.heard = later(e.endpoint.AnnouncedAtMoment(), r.heard)
 	r.fields.HeldUntil = hold(e.restarts, e.joinedAt)
 	t.remove(e)
 	t.install(e, r)
@@ -236,7 +236,7 @@
 	t.note(e, r)
 	e.joined = e.revision
 	if r.leaving {
-		e.endpoint.Leave()
+		e.endpoint.MarkLeaving()
 		t.stats.Left++
 		return
 	}
@@ -254,7 +254,7 @@
 	if p.Leaving() {
 		return
 	}
-	p.Leave()
+	p.MarkLeaving()
 	if t.byAddress[p.Address()] == p.Name() {
 		delete(t.byAddress, p.Address())
 	}
@@ -301,7 +301,7 @@
 		return t.renewLoad(e, r, now)
 	default:
 		// Both moments lie before the one at which the endpoint spoke last.
-		p.Renew(p.Load(), later(p.HeardMoment(), r.heard))
+		p.Renew(p.Load(), later(p.AnnouncedAtMoment(), r.heard))
 		t.stats.Stale++
 		return false, nil
 	}
@@ -316,9 +316,9 @@
 		}
 		t.byAddress[p.Address()] = p.Name()
 	}
-	first := p.HeardMoment().IsZero()
+	first := p.AnnouncedAtMoment().IsZero()
 	e.sequence = r.sequence
-	p.Renew(r.load, later(p.HeardMoment(), r.heard))
+	p.Renew(r.load, later(p.AnnouncedAtMoment(), r.heard))
 	t.note(e, r)
 	if first {
 		// Nobody was told of it while it had no age: tell all of it now.
@@ -349,8 +349,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries {
-		last := max(e.endpoint.HeardMoment().Steady(), e.joinedAt.Steady())
-		if now.Steady()-last > forgetAfter*t.maxAge {
+		last := max(e.endpoint.AnnouncedAtMoment().Monotonic(), e.joinedAt.Monotonic())
+		if now.Monotonic()-last > forgetAfter*t.maxAge {
 			t.drop(e)
 		}
 	}
--- a/treasurer/account.go
+++ b/treasurer/account.go
@@ -32,7 +32,7 @@
 type Account struct {
 	workspace string
 	policy    *Policy
-	slice     budgeter.Slice
+	slice     budgeter.LeasedBudget
 	// sequence numbers leases and returns together. It never repeats within
 	// an incarnation, so that the keeper can tell a resend from a new
 	// request.
@@ -81,37 +81,39 @@
 // Totals holds the counters of a retired account. A new account for the
 // workspace continues from them, because totals and sequences must not
 // restart within an incarnation.
-type Rest struct {
+type Totals struct {
 	sequence                  uint64
 	granted, withdrawn, spent rattanhoist.Tokens
 }
 
 // NewAccount returns an account without rights that continues from the totals
 // r.
-func NewAccount(workspace string, p *Policy, now time.Time, r Rest) *Account {
+func NewAccount(workspace string, p *Policy, now time.Time, r Totals) *Account {
 	a := &Account{
 		workspace: workspace, policy: p, zoneLeft: -1,
 		sequence: r.sequence, acknowledged: r.sequence,
 		meter: demandMeter{lastTick: now, lastUse: now, lastSpent: r.spent},
 	}
-	a.slice.Resume(r.granted, r.withdrawn, r.spent)
+	a.slice.RestoreTotals(r.granted, r.withdrawn, r.spent)
 	return a
 }
 
 // Totals returns the counters for a later account to continue from. The
 // account must hold no rights.
-func (a *Account) Totals() Rest {
-	return Rest{sequence: a.sequence, granted: a.slice.Granted(), withdrawn: a.slice.Withdrawn(), spent: a.slice.Spent()}
+func (a *Account) Totals() Totals {
+	return Totals{sequence: a.sequence, granted: a.slice.Granted(), withdrawn: a.slice.Withdrawn(), spent: a.slice.Spent()}
 }
 
 // Slice returns the leased rights from which requests reserve.
-func (a *Account) Slice() *budgeter.Slice { return &a.slice }
+func (a *Account) Slice() *budgeter.LeasedBudget { return &a.slice }
 
 // Workspace returns the workspace whose budget is spent.
 func (a *Account) Workspace() string { return a.workspace }
 
 // BelowLowMark reports whether the slice should be refilled.
-func (a *Account) Low() bool { return a.slice.Below(rattanhoist.Tokens(a.lowMark.Load())) }
+func (a *Account) BelowLowMark() bool {
+	return a.slice.AvailableBelow(rattanhoist.Tokens(a.lowMark.Load()))
+}
 
 // Demand returns the recent demand in tokens per second.
 func (a *Account) Demand() float64 { return a.meter.rate }
@@ -125,7 +127,7 @@
 		a.handleLeased(now, e)
 	case Returned:
 		a.handleReturned(e)
-	case Failed:
+	case CallFailed:
 		a.handleFailed(now, e)
 	case Recall:
 		return a.handleRecall(now, e)
@@ -147,7 +149,7 @@
 	if c := a.openCall(); c != nil {
 		return append(a.resendDue(now), a.waitForCall(now, e, c))
 	}
-	want := max(e.Waiting, e.Tokens) - a.slice.Left() + a.leaseAhead(e.Tokens)
+	want := max(e.Waiting, e.Tokens) - a.slice.Available() + a.leaseAhead(e.Tokens)
 	out := a.startLease(now, max(want, 1))
 	return append(out, a.waitForCall(now, e, a.pendingLease))
 }
@@ -159,13 +161,13 @@
 		a.meter.unmet += e.Tokens
 		return Refuse{Err: a.keeperUnreachable(now, c)}
 	}
-	if !now.Before(e.GiveUp) {
+	if !now.Before(e.Deadline) {
 		a.meter.unmet += e.Tokens
 		return Refuse{Err: newOutOfReach(now, retryAfterSettlement, "no rights came within the request's time")}
 	}
 	until := a.nextCheck(c)
-	if e.GiveUp.Before(until) {
-		until = e.GiveUp
+	if e.Deadline.Before(until) {
+		until = e.Deadline
 	}
 	return Wait{Until: until}
 }
@@ -192,11 +194,11 @@
 // every RefusalAge. If these rights can't cover the request it refuses at
 // once.
 func (a *Account) waitForOthersOrRefuse(now time.Time, e Need) []Action {
-	covers := a.slice.Left()+a.slice.Reserved()+a.lastShortage.obtainable >= e.Tokens
-	if covers && now.Before(e.GiveUp) {
+	covers := a.slice.Available()+a.slice.Reserved()+a.lastShortage.obtainable >= e.Tokens
+	if covers && now.Before(e.Deadline) {
 		until := a.shortageUntil
-		if e.GiveUp.Before(until) {
-			until = e.GiveUp
+		if e.Deadline.Before(until) {
+			until = e.Deadline
 		}
 		return []Action{Wait{Until: until}}
 	}
@@ -290,7 +292,7 @@
 
 // handleFailed schedules a resend under the same sequence, because the keeper
 // may have carried the call out.
-func (a *Account) handleFailed(now time.Time, e Failed) {
+func (a *Account) handleFailed(now time.Time, e CallFailed) {
 	for _, c := range []*pendingCall{a.pendingLease, a.pendingReturn} {
 		if c != nil && c.sequence == e.Sequence {
 			c.inFlight = false
--- a/treasurer/charge.go
+++ b/treasurer/charge.go
@@ -40,7 +40,7 @@
 		r.Release()
 		return 0, merry.Wrap(ErrNotBilled, merry.AppendMessage("the charge exceeds the reservation"))
 	}
-	if most := r.treasurer.policy.RunMost; most > 0 && time.Now().Round(0).Sub(r.begun) > most {
+	if most := r.treasurer.policy.MaxRunTime; most > 0 && time.Now().Round(0).Sub(r.begun) > most {
 		r.Release()
 		return 0, merry.Wrap(ErrNotBilled, merry.AppendMessagef("the run began more than %s ago", most))
 	}
@@ -75,7 +75,7 @@
 		m.mu.Unlock()
 		return nil, false, ErrFull
 	}
-	b = &pendingCharge{account: h, trace: tracer.LinkOf(ctx), reserved: rattanhoist.Tokens(c.Tokens), done: make(chan struct{})}
+	b = &pendingCharge{account: h, trace: tracer.LinkFromContext(ctx), reserved: rattanhoist.Tokens(c.Tokens), done: make(chan struct{})}
 	m.charges[key] = b
 	m.mu.Unlock()
 	t.startSends(m, sends)
@@ -128,7 +128,7 @@
 func (t *Treasurer) handleChargeReply(m *session, s Send, r *messenger.ChargeReply) []Send {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	known, more := m.outbox.Answered(time.Now(), s, r)
+	known, more := m.outbox.ApplyReply(time.Now(), s, r)
 	for _, o := range known {
 		switch o.State {
 		case messenger.ChargeState_CHARGE_STATE_FENCED:
--- a/treasurer/event.go
+++ b/treasurer/event.go
@@ -16,7 +16,7 @@
 	// Waiting is the total size of all waiting requests, including this one.
 	Waiting rattanhoist.Tokens
 	// Deadline is when the request stops waiting for rights.
-	GiveUp time.Time
+	Deadline time.Time
 }
 
 // Leased reports the keeper's answer to a lease.
@@ -29,7 +29,7 @@
 type Returned struct{ Sequence uint64 }
 
 // CallFailed reports that a call ended without an answer.
-type Failed struct{ Sequence uint64 }
+type CallFailed struct{ Sequence uint64 }
 
 // Recall asks the account to return unreserved rights.
 type Recall struct{ Tokens rattanhoist.Tokens }
@@ -37,12 +37,12 @@
 // Tick triggers periodic work.
 type Tick struct{}
 
-func (Need) isEvent()     {}
-func (Leased) isEvent()   {}
-func (Returned) isEvent() {}
-func (Failed) isEvent()   {}
-func (Recall) isEvent()   {}
-func (Tick) isEvent()     {}
+func (Need) isEvent()       {}
+func (Leased) isEvent()     {}
+func (Returned) isEvent()   {}
+func (CallFailed) isEvent() {}
+func (Recall) isEvent()     {}
+func (Tick) isEvent()       {}
 
 // Action is an output of an account's state machine that the Treasurer
 // carries out.
--- a/treasurer/outbox.go
+++ b/treasurer/outbox.go
@@ -233,7 +233,7 @@
 
 // ApplyReply applies a target's reply to a batch, or nil if there was none.
 // It returns the outcomes that are now known and the next batches.
-func (o *Outbox) Answered(now time.Time, s Send, r *messenger.ChargeReply) ([]Outcome, []Send) {
+func (o *Outbox) ApplyReply(now time.Time, s Send, r *messenger.ChargeReply) ([]Outcome, []Send) {
 	o.busy[s.Target] = false
 	if r == nil || len(r.Results) != len(s.entries) {
 		o.requeue(now, s)
--- a/treasurer/policy.go
+++ b/treasurer/policy.go
@@ -48,10 +48,10 @@
 	// charge; 0 means no limit. While a process is frozen for longer, another
 	// router may bill the request, and that bill may already be pruned when
 	// the process resumes.
-	RunMost time.Duration
+	MaxRunTime time.Duration
 	// TickInterval is the interval at which demand and idle slices are
 	// checked.
-	TickEvery time.Duration
+	TickInterval time.Duration
 }
 
 // DefaultPolicy returns the production values. docs/design/spending.md
@@ -64,7 +64,7 @@
 		KeeperWait: 2500 * time.Millisecond, CallTimeout: 2 * time.Second,
 		MinResendPause: 50 * time.Millisecond, MaxResendPause: time.Second,
 		WitnessAfter: 200 * time.Millisecond, MaxBatch: 256, MaxPending: 1 << 16,
-		TickEvery: 250 * time.Millisecond,
+		TickInterval: 250 * time.Millisecond,
 	}
 }
 
--- a/treasurer/refill.go
+++ b/treasurer/refill.go
@@ -14,7 +14,7 @@
 	if a.openCall() != nil {
 		return a.resendDue(now)
 	}
-	left := a.slice.Left()
+	left := a.slice.Available()
 	if now.Sub(a.meter.lastUse) >= a.policy.IdleAfter {
 		return a.returnIdle(now, left)
 	}
--- a/treasurer/reserve.go
+++ b/treasurer/reserve.go
@@ -44,7 +44,7 @@
 // refillIfLow triggers a refill before the slice is empty, at most once per
 // tick.
 func (t *Treasurer) refillIfLow(h *managedAccount) {
-	if h.Low() && h.lowTickSent.CompareAndSwap(false, true) {
+	if h.BelowLowMark() && h.lowTickSent.CompareAndSwap(false, true) {
 		t.step(h, Tick{})
 	}
 }
@@ -53,7 +53,7 @@
 // an error if the account was retired or its incarnation fenced.
 func (t *Treasurer) waitForRights(ctx context.Context, h *managedAccount, n rattanhoist.Tokens) (bool, error) {
 	giveUp := t.waitDeadline(ctx)
-	if l := tracer.LinkOf(ctx); !l.IsZero() {
+	if l := tracer.LinkFromContext(ctx); !l.IsZero() {
 		h.trace.Store(&l)
 	}
 	h.addWaiter(n)
@@ -70,7 +70,7 @@
 			h.mu.Unlock()
 			return true, nil
 		}
-		actions := h.Step(time.Now(), Need{Tokens: n, Waiting: h.waitingTokens, GiveUp: giveUp})
+		actions := h.Step(time.Now(), Need{Tokens: n, Waiting: h.waitingTokens, Deadline: giveUp})
 		changed := h.changed
 		h.mu.Unlock()
 		until, refusal := t.perform(h, actions)
--- a/treasurer/rpc.go
+++ b/treasurer/rpc.go
@@ -80,7 +80,7 @@
 	select {
 	case <-h.session.registered:
 	case <-ctx.Done():
-		t.step(h, Failed{Sequence: a.Sequence})
+		t.step(h, CallFailed{Sequence: a.Sequence})
 		return
 	}
 	counters.leases.Add(1)
@@ -89,7 +89,7 @@
 		Sequence: a.Sequence, WantTokens: int64(a.Want), DemandTokensPerSecond: a.Demand,
 	})
 	if err != nil {
-		t.step(h, Failed{Sequence: a.Sequence})
+		t.step(h, CallFailed{Sequence: a.Sequence})
 		t.replaceIfFenced(h.session, err)
 		return
 	}
@@ -106,7 +106,7 @@
 		Sequence: a.Sequence, Tokens: int64(a.Tokens),
 	})
 	if err != nil {
-		t.step(h, Failed{Sequence: a.Sequence})
+		t.step(h, CallFailed{Sequence: a.Sequence})
 		t.replaceIfFenced(h.session, err)
 		return
 	}
@@ -122,7 +122,7 @@
 
 // batchTrace returns the trace of the first charge in a batch that has one.
 func (m *session) batchTrace(s Send) tracer.Link {
-	if !tracer.On() {
+	if !tracer.Enabled() {
 		return tracer.Link{}
 	}
 	m.mu.Lock()
--- a/treasurer/session.go
+++ b/treasurer/session.go
@@ -24,7 +24,7 @@
 	accounts sync.Map
 	// mu guards the fields below. Requests take it to charge, not to reserve.
 	mu            sync.Mutex
-	retiredTotals map[string]Rest
+	retiredTotals map[string]Totals
 	// outbox and charges hold the charges in progress.
 	outbox  *Outbox
 	charges map[rattanhoist.RequestKey]*pendingCharge
@@ -36,7 +36,7 @@
 	return &session{
 		incarnation: i, policy: p,
 		registered: make(chan struct{}), fenced: make(chan struct{}), chargeAdded: make(chan struct{}, 1),
-		retiredTotals: map[string]Rest{}, outbox: NewOutbox(p), charges: map[rattanhoist.RequestKey]*pendingCharge{},
+		retiredTotals: map[string]Totals{}, outbox: NewOutbox(p), charges: map[rattanhoist.RequestKey]*pendingCharge{},
 	}
 }
 
@@ -130,7 +130,7 @@
 	defer m.mu.Unlock()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	busy := h.waiters.Load() > 0 || h.openCall() != nil || h.slice.Left() > 0 || h.slice.Reserved() > 0
+	busy := h.waiters.Load() > 0 || h.openCall() != nil || h.slice.Available() > 0 || h.slice.Reserved() > 0
 	if busy || h.retired {
 		return
 	}
--- a/treasurer/shortage.go
+++ b/treasurer/shortage.go
@@ -51,7 +51,7 @@
 }
 
 func newOutOfReach(now time.Time, after time.Duration, detail string) *Shortage {
-	return &Shortage{cause: rattanhoist.ErrBudgetOutOfReach, detail: detail, retryAfter: after, foundAt: now}
+	return &Shortage{cause: rattanhoist.ErrBudgetUnavailable, detail: detail, retryAfter: after, foundAt: now}
 }
 
 func newSpent(now time.Time) *Shortage {
--- a/treasurer/treasurer.go
+++ b/treasurer/treasurer.go
@@ -136,7 +136,7 @@
 
 // tickLoop sends a Tick to every account once per TickInterval.
 func (t *Treasurer) tickLoop() {
-	tick := time.NewTicker(t.policy.TickEvery)
+	tick := time.NewTicker(t.policy.TickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -188,7 +188,7 @@
 	h.mu.Lock()
 	var e Event = Leased{Sequence: sequence, Reply: r}
 	if r.VaultIncarnation > 0 && r.VaultIncarnation < t.newestVault.Load() {
-		e = Failed{Sequence: sequence}
+		e = CallFailed{Sequence: sequence}
 	}
 	actions := h.Step(time.Now(), e)
 	h.wake()
@@ -203,7 +203,7 @@
 func (t *Treasurer) Held() rattanhoist.Tokens {
 	var n rattanhoist.Tokens
 	for h := range t.session.Load().allAccounts() {
-		n += h.slice.Left() + h.slice.Reserved()
+		n += h.slice.Available() + h.slice.Reserved()
 	}
 	return n
 }
@@ -227,15 +227,15 @@
 
 // ReturnAll returns all unreserved rights for shutdown. It waits until the
 // keeper has the returns and the charges, or until ctx ends.
-func (t *Treasurer) GiveBack(ctx context.Context) {
+func (t *Treasurer) ReturnAll(ctx context.Context) {
 	m := t.session.Load()
 	for h := range m.allAccounts() {
-		t.step(h, Recall{Tokens: h.slice.Left()})
+		t.step(h, Recall{Tokens: h.slice.Available()})
 	}
 	for h := range m.allAccounts() {
 		h.awaitReturn(ctx)
 		// A lease in progress may have added rights meanwhile.
-		t.step(h, Recall{Tokens: h.slice.Left()})
+		t.step(h, Recall{Tokens: h.slice.Available()})
 		h.awaitReturn(ctx)
 	}
 	m.awaitCharges(ctx)
--- a/warmer/gate.go
+++ b/warmer/gate.go
@@ -27,7 +27,7 @@
 
 // SetCold sets until when the endpoint is cold, and the router's share, which it may use until it
 // expires.
-func (g *Gate) Set(now, until time.Time, s Share, expires time.Time) {
+func (g *Gate) SetCold(now, until time.Time, s Share, expires time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.coldUntil = until
@@ -44,7 +44,7 @@
 }
 
 // SetReportedCold records until when the endpoint itself reports to be cold.
-func (g *Gate) Extend(now, until time.Time) {
+func (g *Gate) SetReportedCold(now, until time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.reportedColdUntil = until
--- a/warmer/members.go
+++ b/warmer/members.go
@@ -52,7 +52,7 @@
 }
 
 // OwnerUntil returns until when the router may act as an owner, or the zero time if it may not.
-func (m *Members) Until(now time.Time) time.Time {
+func (m *Members) OwnerUntil(now time.Time) time.Time {
 	if m.listedAt.IsZero() || now.Sub(m.listedAt) > maxListAge || now.Sub(m.gaplessSince) < settleTime {
 		return time.Time{}
 	}
@@ -61,7 +61,7 @@
 
 // IsOwner reports whether this router is one of an endpoint's owners. The owners are the members
 // with the highest hashes, and members in the endpoint's zone come first.
-func (m *Members) Owns(endpoint, zone string, owners int) bool {
+func (m *Members) IsOwner(endpoint, zone string, owners int) bool {
 	own := rank(m.self, endpoint, zone)
 	ahead := 0
 	for x := range m.seen {
