--- a/courier/borrower.go
+++ b/courier/borrower.go
@@ -206,7 +206,7 @@
 	return wasPending
 }
 
-// askPeer asks one router for a loan and adds what it lends to the purses.
+// askPeer asks one router for a loan and adds what it lends to the allocations.
 func (b *borrower) askPeer(ctx context.Context, l *messenger.Link, q *messenger.LendRequest) {
 	lent, err := l.Lend(ctx, lendTimeout, q)
 	b.mu.Lock()
@@ -219,7 +219,7 @@
 	var sum int64
 	var workspaces []string
 	for _, x := range lent {
-		p, _, _ := b.rights.purse(x.Workspace)
+		p, _, _ := b.rights.allocation(x.Workspace)
 		p.Receive(x.Tokens)
 		sum += x.Tokens
 		workspaces = append(workspaces, x.Workspace)
@@ -237,8 +237,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []*messenger.PrepaidTotal
-	for _, w := range slices.Sorted(maps.Keys(r.purses)) {
-		if n := r.purses[w].TokensToBorrow(now, connected); n > 0 {
+	for _, w := range slices.Sorted(maps.Keys(r.allocations)) {
+		if n := r.allocations[w].TokensToBorrow(now, connected); n > 0 {
 			out = append(out, &messenger.PrepaidTotal{Workspace: w, Tokens: n})
 		}
 	}
--- a/courier/fleet_test.go
+++ b/courier/fleet_test.go
@@ -353,7 +353,7 @@
 	r := newRights(f, "127.0.0.1:1", zap.NewNop())
 	g.Eventually(f.currentKeeper.Load, 2*time.Second, 5*time.Millisecond).ShouldNot(gomega.BeNil())
 	g.Eventually(f.keeperChanged, time.Second).Should(gomega.Receive())
-	r.purse("w")
+	r.allocation("w")
 	k.cut.Store(true)
 	ended := make(chan time.Duration, 1)
 	go func() { ended <- r.claimFromCurrent(context.Background(), slowClaimTimeout) }()
--- a/courier/owner.go
+++ b/courier/owner.go
@@ -114,9 +114,9 @@
 // of the owner in its zone. done is false if this router has to obtain the tokens itself,
 // because it is the owner or because no owner answers.
 func (r *rights) reserveInZone(ctx context.Context, workspace string, tokens int64, scope messenger.RightsScope) (res *reservation, done bool, err error) {
-	p, _, _ := r.purse(workspace)
+	p, _, _ := r.allocation(workspace)
 	if p.TryReserve(time.Now(), tokens) {
-		return &reservation{purse: p, tokens: tokens}, true, nil
+		return &reservation{allocation: p, tokens: tokens}, true, nil
 	}
 	for _, l := range r.owners.ahead(time.Now(), workspace) {
 		reply, err := l.ReserveRights(ctx, ownerTimeout, &messenger.ReserveRightsRequest{Workspace: workspace, Tokens: tokens, Scope: scope})
@@ -146,7 +146,7 @@
 	case reply.Lent >= tokens:
 		borrowedTokens.AddInt64(reply.Lent)
 		p.ReceiveReserved(tokens)
-		return &reservation{purse: p, tokens: tokens}, nil
+		return &reservation{allocation: p, tokens: tokens}, nil
 	case reply.Spent:
 		rightsSpent.Inc()
 		return nil, forwarder.ErrSpent
@@ -220,7 +220,7 @@
 		}
 	}
 	others := q.Scope == messenger.RightsScope_RIGHTS_SCOPE_FLEET
-	if p, _, _ := r.purse(q.Workspace); !others && !p.Holds(q.Tokens) {
+	if p, _, _ := r.allocation(q.Workspace); !others && !p.Holds(q.Tokens) {
 		// The asking router has already tried the keepers, or can't reach them.
 		return nil, forwarder.RightsUnavailable{}
 	}
@@ -237,7 +237,7 @@
 		if len(owners) == 0 {
 			continue
 		}
-		p, _, _ := r.purse(w)
+		p, _, _ := r.allocation(w)
 		if n := p.TakeIdle(now, minReturn); n > 0 {
 			q := requests[owners[0]]
 			if q == nil {
@@ -261,7 +261,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
-	for w, p := range r.purses {
+	for w, p := range r.allocations {
 		if !p.ClaimAnswered() {
 			out = append(out, w)
 		}
--- a/courier/rights.go
+++ b/courier/rights.go
@@ -46,7 +46,7 @@
 	closeTimeout = 200 * time.Millisecond
 )
 
-// rights manages this router's prepaid rights: a purse for each workspace, from which
+// rights manages this router's prepaid rights: an allocation for each workspace, from which
 // requests reserve tokens, and which is settled with the keepers. It implements FleetRouter
 // for other routers.
 type rights struct {
@@ -60,7 +60,7 @@
 	owners   *owners
 
 	mu          sync.Mutex
-	purses      map[string]*allotter.Allocation
+	allocations map[string]*allotter.Allocation
 	incarnation uint64
 	// sequence counts claims, and answeredSequence is that of the last claim with a response.
 	sequence, answeredSequence uint64
@@ -79,7 +79,7 @@
 
 func newRights(f *fleetView, address string, log *zap.Logger) *rights {
 	r := &rights{
-		fleet: f, address: address, log: log, urgent: make(chan struct{}, 1), purses: map[string]*allotter.Allocation{},
+		fleet: f, address: address, log: log, urgent: make(chan struct{}, 1), allocations: map[string]*allotter.Allocation{},
 		incarnation: newIncarnation(), settled: make(chan struct{}), started: newAccountStart(),
 	}
 	r.borrower = newBorrower(r, log)
@@ -87,14 +87,14 @@
 	return r
 }
 
-// reservation is an amount of tokens that one purse has reserved for a request.
+// reservation is an amount of tokens that one allocation has reserved for a request.
 type reservation struct {
-	purse  *allotter.Allocation
-	tokens int64
+	allocation *allotter.Allocation
+	tokens     int64
 }
 
 // Settle returns the tokens that were not spent.
-func (r *reservation) Settle(spent int64) { r.purse.Settle(r.tokens, spent) }
+func (r *reservation) Settle(spent int64) { r.allocation.Settle(r.tokens, spent) }
 
 // Reserve reserves tokens for a request. If this router holds too few, it asks other
 // routers or the keepers.
@@ -118,21 +118,21 @@
 	return res, nil
 }
 
-// reserveLocally reserves tokens from this router's own purse. If it holds too few, the
+// reserveLocally reserves tokens from this router's own allocation. If it holds too few, the
 // keepers are asked, and, if others is set, other routers too.
 func (r *rights) reserveLocally(ctx context.Context, workspace string, tokens int64, others bool) (*reservation, error) {
-	p, settled, firstCount := r.purse(workspace)
+	p, settled, firstCount := r.allocation(workspace)
 	if p.FailedSearchRecently(time.Now(), tokens) {
 		rightsSpent.Inc()
 		return nil, forwarder.ErrSpent
 	}
 	for asked := false; ; asked = true {
 		if !asked && p.Reserve(time.Now(), tokens) || asked && p.RetryReserve(time.Now(), tokens) {
-			return &reservation{purse: p, tokens: tokens}, nil
+			return &reservation{allocation: p, tokens: tokens}, nil
 		}
 		if r.fleet.disconnected() {
 			if others && r.borrow(ctx, p, workspace, tokens) {
-				return &reservation{purse: p, tokens: tokens}, nil
+				return &reservation{allocation: p, tokens: tokens}, nil
 			}
 			rightsOutOfReach.Inc()
 			return nil, forwarder.RightsUnavailable{After: r.retryAfter(p, tokens)}
@@ -150,10 +150,10 @@
 			return nil, r.refusal(p, tokens)
 		}
 		var count uint64
-		p, settled, count = r.purse(workspace)
+		p, settled, count = r.allocation(workspace)
 		if count > firstCount+1 && p.Exhausted(tokens) {
 			if others && r.borrow(ctx, p, workspace, tokens) {
-				return &reservation{purse: p, tokens: tokens}, nil
+				return &reservation{allocation: p, tokens: tokens}, nil
 			}
 			return nil, r.refusal(p, tokens)
 		}
@@ -199,7 +199,7 @@
 func (r *rights) Lend(_ context.Context, q *messenger.LendRequest) (*messenger.LendReply, error) {
 	out := &messenger.LendReply{}
 	for _, w := range q.Wants {
-		p, _, _ := r.purse(w.Workspace)
+		p, _, _ := r.allocation(w.Workspace)
 		if n := p.Lend(time.Now(), w.Tokens); n > 0 {
 			lentTokens.AddInt64(n)
 			out.Lent = append(out.Lent, &messenger.PrepaidTotal{Workspace: w.Workspace, Tokens: n})
@@ -208,20 +208,20 @@
 	return out, nil
 }
 
-// purse returns the purse of a workspace, which is created if necessary. It also returns a
+// allocation returns the allocation of a workspace, which is created if necessary. It also returns a
 // channel that is closed when the next claim is answered, and the number of answered claims.
-func (r *rights) purse(workspace string) (*allotter.Allocation, chan struct{}, uint64) {
+func (r *rights) allocation(workspace string) (*allotter.Allocation, chan struct{}, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.purses[workspace]
+	p := r.allocations[workspace]
 	if p == nil {
 		p = &allotter.Allocation{}
-		r.purses[workspace] = p
+		r.allocations[workspace] = p
 	}
 	return p, r.settled, r.answeredClaims
 }
 
-// run settles the purses with the keepers until ctx is done.
+// run settles the allocations with the keepers until ctx is done.
 func (r *rights) run(ctx context.Context) {
 	go r.borrower.run(ctx)
 	go r.runReturns(ctx)
@@ -278,8 +278,8 @@
 	}
 	q := &messenger.LeaveRightsRequest{}
 	r.mu.Lock()
-	for _, w := range slices.Sorted(maps.Keys(r.purses)) {
-		if n := r.purses[w].TakeAvailable(time.Now()); n > 0 {
+	for _, w := range slices.Sorted(maps.Keys(r.allocations)) {
+		if n := r.allocations[w].TakeAvailable(time.Now()); n > 0 {
 			q.Gifts = append(q.Gifts, &messenger.PrepaidTotal{Workspace: w, Tokens: n})
 		}
 	}
@@ -292,7 +292,7 @@
 // keeper, or one that returns what it borrowed.
 func (r *rights) LeaveRights(_ context.Context, q *messenger.LeaveRightsRequest) (*messenger.LeaveRightsReply, error) {
 	for _, x := range q.Gifts {
-		p, _, _ := r.purse(x.Workspace)
+		p, _, _ := r.allocation(x.Workspace)
 		p.Receive(x.Tokens)
 	}
 	return &messenger.LeaveRightsReply{}, nil
@@ -330,7 +330,7 @@
 	if !r.claimDue(time.Now()) {
 		return timeout
 	}
-	change, purses, leftOut, sent := r.buildClaims(false)
+	change, allocations, leftOut, sent := r.buildClaims(false)
 	reply, err := r.sendClaims(ctx, l, timeout, change)
 	if err != nil {
 		return r.claimFailed(l, err)
@@ -343,7 +343,7 @@
 		return claimTimeout
 	}
 	for i, g := range reply.Grants.GetGrants() {
-		purses[i].ApplyGrant(g, change.Claims[i], sent)
+		allocations[i].ApplyGrant(g, change.Claims[i], sent)
 	}
 	for w, p := range leftOut {
 		p.OmissionAnswered(slices.Contains(reply.Grants.GetScarce(), w))
@@ -378,7 +378,7 @@
 	return n
 }
 
-// updateTotals applies the prepaid totals of a document, and adds purses for new workspaces.
+// updateTotals applies the prepaid totals of a document, and adds allocations for new workspaces.
 func (r *rights) updateTotals(d *publisher.Document) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -388,8 +388,8 @@
 			continue
 		}
 		r.totals[w.Name] = *w.Prepaid
-		if r.purses[w.Name] == nil {
-			r.purses[w.Name] = &allotter.Allocation{}
+		if r.allocations[w.Name] == nil {
+			r.allocations[w.Name] = &allotter.Allocation{}
 		}
 	}
 }
@@ -403,7 +403,7 @@
 	}
 	pause := r.fleet.paced(claimInterval, maxClaimPaceFactor)
 	renew := now.Sub(r.answeredSentAt) >= renewInterval
-	for w, p := range r.purses {
+	for w, p := range r.allocations {
 		if renew && p.ClaimAnswered() || p.ClaimDue(now, r.floor(w), pause) {
 			return true
 		}
@@ -411,9 +411,9 @@
 	return false
 }
 
-// buildClaims returns the claims to send now, their purses, and the purses that are left
+// buildClaims returns the claims to send now, their allocations, and the allocations that are left
 // out because nothing changed.
-func (r *rights) buildClaims(closing bool) (out *messenger.RightsChange, purses []*allotter.Allocation, leftOut map[string]*allotter.Allocation, sent time.Time) {
+func (r *rights) buildClaims(closing bool) (out *messenger.RightsChange, allocations []*allotter.Allocation, leftOut map[string]*allotter.Allocation, sent time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sent, leftOut = time.Now(), map[string]*allotter.Allocation{}
@@ -423,8 +423,8 @@
 		Sent: rightsMoment(sent), Started: r.started.momentAt(sent), Binding: true,
 	}
 	pause := r.fleet.paced(claimInterval, maxClaimPaceFactor)
-	for _, w := range slices.Sorted(maps.Keys(r.purses)) {
-		p := r.purses[w]
+	for _, w := range slices.Sorted(maps.Keys(r.allocations)) {
+		p := r.allocations[w]
 		r.setHolders(w, p)
 		known := p.ClaimAnswered()
 		switch {
@@ -442,12 +442,12 @@
 		default:
 			out.Claims = append(out.Claims, p.NextClaim(sent, w, r.floor(w), pause))
 		}
-		purses = append(purses, p)
+		allocations = append(allocations, p)
 	}
-	return out, purses, leftOut, sent
+	return out, allocations, leftOut, sent
 }
 
-// setHolders tells a purse how many routers hold the rights of its workspace.
+// setHolders tells an allocation how many routers hold the rights of its workspace.
 func (r *rights) setHolders(workspace string, p *allotter.Allocation) {
 	if total, limited := r.totals[workspace]; limited && r.floorShare(workspace) < minFloor {
 		p.SetPooledHolders(r.fleet.zoneCount(), total)
@@ -473,8 +473,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.log.Warn("keepers closed the rights account, opening a new one", zap.Uint64("incarnation", r.incarnation))
-	for w := range r.purses {
-		r.purses[w] = &allotter.Allocation{}
+	for w := range r.allocations {
+		r.allocations[w] = &allotter.Allocation{}
 	}
 	r.incarnation = newIncarnation()
 	r.sequence, r.answeredSequence, r.started = 0, 0, newAccountStart()
--- a/endpoint.go
+++ b/endpoint.go
@@ -68,7 +68,7 @@
 	e.renewal.Store(&renewal{load: load, heard: heard, leaving: e.Leaving()})
 }
 
-// MarkLeaving marks the endpoint as leaving permanently. Calls of Renew and Leave must
+// MarkLeaving marks the endpoint as leaving permanently. Calls of Renew and MarkLeaving must
 // not overlap.
 func (e *Endpoint) MarkLeaving() {
 	r := *e.renewal.Load()
@@ -107,7 +107,7 @@
 // AnnouncedAt returns the earliest time at which the latest announcement can have been made.
 func (e *Endpoint) AnnouncedAt() time.Time { return e.renewal.Load().heard.Time() }
 
-// AnnouncedAtMoment returns the same time as Heard, as read from both clocks.
+// AnnouncedAtMoment returns the same time as AnnouncedAt, as read from both clocks.
 func (e *Endpoint) AnnouncedAtMoment() Moment { return e.renewal.Load().heard }
 
 // Leaving reports whether the endpoint is leaving and accepts no new requests.
--- a/keeper/workspace_shares.go
+++ b/keeper/workspace_shares.go
@@ -52,7 +52,7 @@
 type shares struct {
 	mu  sync.Mutex
 	all map[string]*workspaceShares
-	// idle keeps the meters of dropped workspaces for placer.MeterTime, so
+	// idle keeps the meters of dropped workspaces for placer.DemandTimeConstant, so
 	// that the demand of a workspace stays known over a pause between
 	// requests.
 	idle map[string]idleMeter
@@ -159,7 +159,7 @@
 	return rate
 }
 
-// ownDemand returns this zone's demand, averaged over placer.MeterTime.
+// ownDemand returns this zone's demand, averaged over placer.DemandTimeConstant.
 func (s *shares) ownDemand(workspace string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/treasurer/account.go
+++ b/treasurer/account.go
@@ -51,7 +51,7 @@
 	// pooled the rights.
 	lastLeaseOvertaken bool
 	// lastShortage is the shortage that the last lease found. It is valid until
-	// refusedUntil.
+	// shortageUntil.
 	lastShortage  *Shortage
 	shortageUntil time.Time
 	// zoneLeft is the number of unspent tokens in the zone at the keeper's
--- a/treasurer/shortage.go
+++ b/treasurer/shortage.go
@@ -15,7 +15,7 @@
 )
 
 // Shortage is the error for a request that the budget can't cover. It wraps
-// rattanhoist.ErrBudgetSpent or rattanhoist.ErrBudgetOutOfReach.
+// rattanhoist.ErrBudgetSpent or rattanhoist.ErrBudgetUnavailable.
 type Shortage struct {
 	cause      error
 	detail     string
