--- a/endpoint.go
+++ b/endpoint.go
@@ -30,10 +30,10 @@
 // and is replaced as a whole.
 type renewal struct {
 	load int64
-	// AnnouncedAt is no later than the time of the announcement, so that the age
+	// announcedAt is no later than the time of the announcement, so that the age
 	// computed from it is never too small.
-	heard Moment
-	// Leaving is never reset for an incarnation.
+	announcedAt Moment
+	// leaving is never reset for an incarnation.
 	leaving bool
 }
 
@@ -58,14 +58,14 @@
 		labels: f.Labels, incarnation: f.Incarnation,
 		capacity: max(f.Capacity, 1), checksFencing: f.ChecksFencing, heldUntil: f.HeldUntil,
 	}
-	e.renewal.Store(&renewal{load: f.Load, heard: MomentOf(f.AnnouncedAt), leaving: f.Leaving})
+	e.renewal.Store(&renewal{load: f.Load, announcedAt: MomentOf(f.AnnouncedAt), leaving: f.Leaving})
 	return e
 }
 
 // Renew sets the load and the time of the latest announcement. Calls of Renew and
 // MarkLeaving must not overlap.
-func (e *Endpoint) Renew(load int64, heard Moment) {
-	e.renewal.Store(&renewal{load: load, heard: heard, leaving: e.Leaving()})
+func (e *Endpoint) Renew(load int64, announcedAt Moment) {
+	e.renewal.Store(&renewal{load: load, announcedAt: announcedAt, leaving: e.Leaving()})
 }
 
 // MarkLeaving marks the endpoint as leaving permanently. Calls of Renew and MarkLeaving must
@@ -105,10 +105,10 @@
 func (e *Endpoint) Load() int64 { return e.renewal.Load().load }
 
 // AnnouncedAt returns the earliest time at which the latest announcement can have been made.
-func (e *Endpoint) AnnouncedAt() time.Time { return e.renewal.Load().heard.Time() }
+func (e *Endpoint) AnnouncedAt() time.Time { return e.renewal.Load().announcedAt.Time() }
 
 // AnnouncedAtMoment returns the same time as AnnouncedAt, as read from both clocks.
-func (e *Endpoint) AnnouncedAtMoment() Moment { return e.renewal.Load().heard }
+func (e *Endpoint) AnnouncedAtMoment() Moment { return e.renewal.Load().announcedAt }
 
 // Leaving reports whether the endpoint is leaving and accepts no new requests.
 func (e *Endpoint) Leaving() bool { return e.renewal.Load().leaving }
@@ -121,6 +121,6 @@
 	if r.leaving || !e.heldUntil.IsZero() && now.Before(e.heldUntil) {
 		return false
 	}
-	age, ok := now.Since(r.heard)
+	age, ok := now.Since(r.announcedAt)
 	return ok && age < maxAge
 }
