--- a/allotter/pooled_test.go
+++ b/allotter/pooled_test.go
@@ -38,7 +38,7 @@
 
 func (w *pooledSimulation) messageLost() bool { return !w.reliable && w.rand.IntN(20) == 0 }
 
-// sendClaim settles the owner's allocation with the keepers. If the answer is lost, the allocation
+// claim settles the owner's allocation with the keepers. If the answer is lost, the allocation
 // stays as it was.
 func (w *pooledSimulation) claim(z *pooledZone) {
 	c := z.owner.NextClaim(w.now, workspace, 0, 400*time.Millisecond)
--- a/keeper/vault_lease.go
+++ b/keeper/vault_lease.go
@@ -74,7 +74,9 @@
 	})
 }
 
-// requestFrom requests rights from one zone and accepts the transfer.
+// requestFromZones requests an equal part from every other zone, and then the
+// rest from those that have more left: two rounds, and never more than is
+// missing.
 func (g *rightsCollector) requestFromZones(ctx context.Context) {
 	n := g.shortfall(ctx)
 	list := g.server.keeper.peers.keepers
@@ -126,6 +128,7 @@
 	return left
 }
 
+// requestFrom requests rights from one zone and accepts the transfer.
 func (g *rightsCollector) requestFrom(ctx context.Context, p peer, n int64) (*messenger.AskReply, error) {
 	incarnation, err := readVault(ctx, g.server.loop, (*budgeter.Vault).Incarnation)
 	if err != nil {
